--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,8 +1,9 @@
-//! Comparison of whole tables: how a process joins, and how halves that were cut apart come together again.
+//! Anti-entropy: compares whole member tables. This is how a process joins, and how the sides of a network partition
+//! merge again.
 //!
-//! Two members compare the hashes of 64 parts of their tables and send each other the members of the parts that
-//! differ, a few datagrams at a time. A process that joins compares often, with ever other members, until it finds no
-//! difference, so that no seed has to send everything to everybody.
+//! Two members compare the hashes of 64 buckets of their tables and send each other the members of the buckets that
+//! differ, a few datagrams at a time. A joining process compares often, each time with a random member, until it
+//! finds no difference, so that no seed has to send the whole table to every process.
 
 use std::net::SocketAddr;
 
@@ -15,21 +16,22 @@
 use crate::message::{Body, Rumor};
 use crate::table::{BUCKETS, Status, Table};
 
-/// The most datagrams that answer one comparison.
-const MOST_DATAGRAMS: usize = 12;
+/// Maximum number of datagrams that answer one comparison.
+const MAX_ANSWER_DATAGRAMS: usize = 12;
 
-/// After so many comparisons without a difference in a row, a process has caught up.
-const EQUAL_ENOUGH: u32 = 2;
+/// A process has caught up after this many consecutive comparisons without a difference.
+const EQUAL_COMPARISONS_TO_CATCH_UP: u32 = 2;
 
-/// Bytes of a datagram that members fill in an answer.
-const FILL_BYTES: usize = MOST_DATAGRAM_BYTES - 200;
+/// Maximum bytes of encoded members in one datagram of an answer.
+const MAX_MEMBER_BYTES: usize = MOST_DATAGRAM_BYTES - 200;
 
-/// Remembered members that are tried at a time: few, as many processes start at once.
-const REMEMBERED_AT_ONCE: usize = 8;
+/// Number of remembered members that are contacted at a time. It is small because many processes may start at once.
+const MAX_REMEMBERED_CONTACTS: usize = 8;
 
 impl Membership {
-    /// A stranger spoke, or a later life of a member: it is asked who it is.
-    pub(crate) fn ask_stranger(&mut self, from: SocketAddr, body: &Body, effects: &mut Vec<Effect>) {
+    /// A datagram came from an unknown member, or from a later life of a known one: requests a comparison to learn
+    /// about it.
+    pub(crate) fn request_comparison(&mut self, from: SocketAddr, body: &Body, effects: &mut Vec<Effect>) {
         if !matches!(body, Body::Compare { .. }) {
             self.send_compare(from, true, effects);
         }
@@ -41,23 +43,23 @@
         self.send_rumors(to, Body::Compare { buckets, answer }, own, effects);
     }
 
-    fn compare_pause(&self) -> Micros {
-        let is_catching_up = self.equal_in_row < EQUAL_ENOUGH;
+    fn compare_interval(&self) -> Micros {
+        let is_catching_up = self.equal_comparisons < EQUAL_COMPARISONS_TO_CATCH_UP;
         if is_catching_up { self.settings.catch_up_period } else { self.settings.compare_period }
     }
 
-    /// A rumor told something new: others may have been missed, so a comparison follows.
-    pub(crate) fn heard_news(&mut self, now: Micros) {
+    /// A rumor was new: this process may have missed others too, so it schedules a comparison.
+    pub(crate) fn schedule_check(&mut self, now: Micros) {
         self.next_compare = self.next_compare.min(now + self.settings.check_period);
     }
 
-    /// Members came that this process lacked: it compares again soon.
-    pub(crate) fn found_difference(&mut self, now: Micros) {
-        self.equal_in_row = 0;
+    /// A comparison returned members that this process lacked: it compares again soon.
+    pub(crate) fn schedule_catch_up(&mut self, now: Micros) {
+        self.equal_comparisons = 0;
         self.next_compare = self.next_compare.min(now + self.settings.catch_up_period);
     }
 
-    /// Answers a comparison with the members of the parts that differ.
+    /// Answers a comparison with the members of the buckets that differ.
     pub(crate) fn compare(
         &mut self, now: Micros, from: SocketAddr, theirs: &[u8], answer: bool, effects: &mut Vec<Effect>,
     ) {
@@ -66,26 +68,26 @@
         if answer {
             self.send_compare(from, false, effects);
         } else {
-            self.equal_in_row = if differing.is_empty() { self.equal_in_row + 1 } else { 0 };
-            self.next_compare = now + self.compare_pause();
+            self.equal_comparisons = if differing.is_empty() { self.equal_comparisons + 1 } else { 0 };
+            self.next_compare = now + self.compare_interval();
         }
         self.send_buckets(from, &differing, effects);
     }
 
-    /// Sends the members of some buckets, from a random one on, as far as the datagrams last.
+    /// Sends the members of the given buckets, starting at a random one, up to the maximum number of datagrams.
     fn send_buckets(&mut self, to: SocketAddr, buckets: &[usize], effects: &mut Vec<Effect>) {
         if buckets.is_empty() {
             return;
         }
-        let mut place = [usize::MAX; BUCKETS];
+        let mut position = [usize::MAX; BUCKETS];
         let first = self.random.below(buckets.len());
         for (index, bucket) in buckets.iter().enumerate() {
-            place[*bucket] = (index + buckets.len() - first) % buckets.len();
+            position[*bucket] = (index + buckets.len() - first) % buckets.len();
         }
         let chosen = self.table.iter().chain(std::iter::once(&self.own));
         let mut members: Vec<(usize, Rumor)> =
-            chosen.map(|member| (place[Table::bucket_of(&member.info.name)], member.rumor())).collect();
-        members.retain(|(place, _)| *place != usize::MAX);
+            chosen.map(|member| (position[Table::bucket_of(&member.info.name)], member.rumor())).collect();
+        members.retain(|(position, _)| *position != usize::MAX);
         members.sort_by(|a, b| (a.0, &a.1.info.name).cmp(&(b.0, &b.1.info.name)));
         self.send_members(to, members.into_iter().map(|(_, rumor)| rumor), effects);
     }
@@ -96,11 +98,11 @@
         let (mut batch, mut bytes, mut sent): (Vec<ByteBuf>, usize, usize) = (Vec::new(), 0, 0);
         for rumor in members {
             let encoded = rumor.write();
-            if bytes + encoded.len() > FILL_BYTES {
+            if bytes + encoded.len() > MAX_MEMBER_BYTES {
                 self.send_rumors(to, Body::Members, std::mem::take(&mut batch), effects);
                 bytes = 0;
                 sent += 1;
-                if sent >= MOST_DATAGRAMS {
+                if sent >= MAX_ANSWER_DATAGRAMS {
                     return;
                 }
             }
@@ -112,15 +114,15 @@
         }
     }
 
-    /// Compares tables when it is time, and tries seeds that are no live members.
-    pub(crate) fn reach_out(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    /// Compares tables when a comparison is due, and contacts seeds that are not live members.
+    pub(crate) fn compare_and_contact(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         if now >= self.next_seed {
-            let period = if self.answered { self.settings.seed_period } else { self.settings.join_period };
+            let period = if self.has_contact { self.settings.seed_period } else { self.settings.join_period };
             self.next_seed = now + period;
-            self.reach_lost(effects);
+            self.contact_lost_members(effects);
         }
         if now >= self.next_compare {
-            self.next_compare = now + self.compare_pause();
+            self.next_compare = now + self.compare_interval();
             self.table.forget(now);
             if let Some(address) = self.random_members(1).pop() {
                 self.send_compare(address, true, effects);
@@ -128,8 +130,9 @@
         }
     }
 
-    /// Calls the seeds that are no live members, and one dead member: they may be the other half of a cut.
-    fn reach_lost(&mut self, effects: &mut Vec<Effect>) {
+    /// Contacts the seeds that are not live members, one dead member and some remembered members: they may be on the
+    /// other side of a network partition.
+    fn contact_lost_members(&mut self, effects: &mut Vec<Effect>) {
         let is_live =
             |address: &SocketAddr| self.table.live().any(|member| member.info.peer_address == *address);
         let mut lost: Vec<SocketAddr> =
@@ -145,14 +148,14 @@
         }
         self.random.shuffle(&mut self.remembered);
         let known = self.remembered.iter().filter(|address| !lost.contains(address));
-        let known: Vec<SocketAddr> = known.take(REMEMBERED_AT_ONCE).copied().collect();
+        let known: Vec<SocketAddr> = known.take(MAX_REMEMBERED_CONTACTS).copied().collect();
         lost.extend(known);
         for address in lost {
             self.send_compare(address, true, effects);
         }
     }
 
-    /// Sends fresh rumors to some members, without waiting for the next probes.
+    /// Sends fresh rumors to some members without waiting for the next probes.
     pub(crate) fn gossip(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         if now < self.next_gossip {
             return;
@@ -165,7 +168,7 @@
         self.next_gossip = if is_more { now + self.settings.gossip_period } else { Micros::MAX };
     }
 
-    /// Works out the next wake-up, after what happened at `now`.
+    /// Computes the next wake-up time after the events at `now`.
     pub(crate) fn schedule_from(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let before = self.wake;
         let suspicions =
@@ -177,7 +180,7 @@
         }
     }
 
-    /// The same where no time is at hand.
+    /// Like `schedule_from`, for callers that do not know the time.
     pub(crate) fn schedule(&mut self, effects: &mut Vec<Effect>) {
         self.schedule_from(0, effects);
     }
--- a/crates/membership/src/change.rs
+++ b/crates/membership/src/change.rs
@@ -1,4 +1,4 @@
-//! What the machine wants done, and what it reports.
+//! Actions and reports of the state machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,29 +6,29 @@
 use pewterseam_wire::Micros;
 use pewterseam_wire::identity::{Life, NodeInfo, NodeName};
 
-/// What a driver does for the machine.
+/// An action that the driver must carry out, or a report to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram. It may be lost.
     Send { to: SocketAddr, datagram: Vec<u8> },
-    /// A member came, changed or went.
+    /// A member joined, changed or went down.
     Changed(MemberChange),
-    /// A member told a higher digest than any before in its life.
+    /// A member sent a higher digest than any before in its life.
     PeerDigest { name: NodeName, digest: u64 },
-    /// The system knew a later life of this node's name: this process now lives under the given one.
+    /// Other members knew a later life of this node's name, so this process now uses the given life.
     Restarted { life: Life },
-    /// Call `tick` at this time, and no longer at the one asked for before.
+    /// Call `tick` at this time instead of the time requested before.
     Wake(Micros),
 }
 
-/// A change of the members other than this process itself. A later life of a known name is told as `Down` of the old
-/// life and `Up` of the new one.
+/// A change of a member other than this process. A later life of a known name is reported as `Down` of the old life
+/// and `Up` of the new one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// A node came, or is alive after all.
+    /// A node joined, or a node that was declared dead is alive.
     Up(Arc<NodeInfo>),
-    /// Something about a live node changed, such as `ready`.
+    /// A property of a live node changed, such as `ready`.
     Updated(Arc<NodeInfo>),
-    /// A node died, or said that it goes (`left`).
+    /// A node died, or left on its own account (`left`).
     Down { info: Arc<NodeInfo>, left: bool },
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,10 @@
-//! SWIM membership as a state machine without I/O: who is in the system, and who is alive.
+//! SWIM membership as a state machine without I/O: which nodes are members, and which of them are alive.
 //!
-//! [`Membership`] takes datagrams and the time, and returns [`Effect`]s. A driver sends the datagrams, passes changes
-//! on and calls [`Membership::tick`] when [`Membership::next_wake`] comes.
+//! [`Membership`] takes datagrams and the time, and returns [`Effect`]s. A driver sends the datagrams, passes member
+//! changes on and calls [`Membership::tick`] at the time given by [`Membership::next_wake`].
 //!
-//! What is known of a member is ordered by life, then incarnation, then status, and the greater knowledge wins
-//! everywhere, so that merging is commutative and repeated or late datagrams do no harm.
+//! Knowledge about a member is ordered by life, then incarnation, then status. The greater one always wins, so
+//! merging is commutative, and repeated or late datagrams do no harm.
 
 mod anti_entropy;
 mod change;
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine: this process's own entry, the table, and what arrives.
+//! The state machine: this process's own entry, the member table, and the handling of datagrams and timers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::settings::MembershipSettings;
 use crate::table::{Member, Merge, Status, Table};
 
-/// A leaving member tells so many others at once.
-const LEAVE_FANOUT: usize = 16;
+/// Number of members that are notified immediately when this process leaves or its own entry changes.
+const ANNOUNCE_FANOUT: usize = 16;
 
-/// Room that the head of a datagram takes beside its rumors.
-const HEAD_BYTES: usize = 160;
+/// Bytes reserved in a datagram for everything but its rumors.
+const HEADER_BYTES: usize = 160;
 
 /// SWIM membership of one process.
 pub struct Membership {
@@ -28,31 +28,32 @@
     pub(crate) rumors: Rumors,
     pub(crate) probing: Probing,
     pub(crate) seeds: Vec<SocketAddr>,
-    /// Members of an earlier life, until one of any kind has answered.
+    /// Addresses of members that an earlier process of this node knew; cleared once any member has answered.
     pub(crate) remembered: Vec<SocketAddr>,
     pub(crate) random: Random,
-    /// Members whose suspicion runs.
+    /// Members that are suspected at present.
     pub(crate) suspects: Vec<NodeName>,
     pub(crate) next_compare: Micros,
     pub(crate) next_seed: Micros,
-    /// Comparisons in a row that found no difference.
-    pub(crate) equal_in_row: u32,
+    /// Consecutive comparisons that found no difference.
+    pub(crate) equal_comparisons: u32,
     pub(crate) next_gossip: Micros,
     pub(crate) last_gossip: Micros,
-    pub(crate) answered: bool,
+    /// Whether any other member has answered since the start.
+    pub(crate) has_contact: bool,
     pub(crate) wake: Micros,
 }
 
 impl Membership {
-    /// A process that starts. `info.life` should be above all its earlier lives, such as the time of day in
-    /// milliseconds. `seeds` are the peer addresses of the seeds; its own is passed over. Call [`Membership::tick`]
-    /// at once.
+    /// Creates the membership of a starting process. `info.life` should exceed all its earlier lives; the wall clock
+    /// in milliseconds is a suitable value. `seeds` are the peer addresses of the seeds; its own address among them
+    /// is ignored. Call [`Membership::tick`] immediately afterwards.
     pub fn new(
-        now: Micros, info: NodeInfo, seeds: Vec<SocketAddr>, settings: MembershipSettings, seed: u64,
+        now: Micros, info: NodeInfo, seeds: Vec<SocketAddr>, settings: MembershipSettings, random_seed: u64,
     ) -> Self {
         let own =
             Member { info: Arc::new(info), incarnation: 0, status: Status::Alive, deadline: 0, digest: 0 };
-        let mut random = Random::new(seed);
+        let mut random = Random::new(random_seed);
         let first_probe = now + random.draw() % settings.probe_period.max(1);
         let next_compare = now + settings.catch_up_period;
         Membership {
@@ -67,25 +68,25 @@
             suspects: Vec::new(),
             next_compare,
             next_seed: now,
-            equal_in_row: 0,
+            equal_comparisons: 0,
             next_gossip: Micros::MAX,
             last_gossip: 0,
-            answered: false,
+            has_contact: false,
             wake: now,
         }
     }
 
-    /// What this process tells of itself.
+    /// The information about this process that is sent to other members.
     pub fn own(&self) -> &Arc<NodeInfo> {
         &self.own.info
     }
 
-    /// What is known of another member, dead or alive.
+    /// The information about another member and its status, dead or alive.
     pub fn get(&self, name: &NodeName) -> Option<(&Arc<NodeInfo>, Status)> {
         self.table.get(name).map(|member| (&member.info, member.status))
     }
 
-    /// The other members that are alive or only suspected.
+    /// The other members that are alive or suspected.
     pub fn live(&self) -> impl Iterator<Item = &Arc<NodeInfo>> {
         self.table.live().map(|member| &member.info)
     }
@@ -95,7 +96,8 @@
         self.table.live_count()
     }
 
-    /// Whether this life of this node is not known to have ended. True for this process itself.
+    /// Whether this life of the node is in the table and not known to have ended. For this process itself, whether
+    /// `owner` is its present life.
     pub fn is_alive(&self, owner: &Owner) -> bool {
         if owner.name == self.own.info.name {
             return owner.life == self.own.info.life;
@@ -104,22 +106,22 @@
         member.is_some_and(|member| member.status.is_live() && member.info.life == owner.life)
     }
 
-    /// Whether any other member has ever answered.
+    /// Whether any other member has answered since the start.
     pub fn has_joined(&self) -> bool {
-        self.answered
+        self.has_contact
     }
 
-    /// When [`Membership::tick`] is due.
+    /// When [`Membership::tick`] must be called next.
     pub fn next_wake(&self) -> Micros {
         self.wake
     }
 
-    /// The digest that goes out with each datagram from now on.
+    /// Sets the digest that is sent with each datagram from now on.
     pub fn set_digest(&mut self, digest: u64) {
         self.own.digest = digest;
     }
 
-    /// Seeds of a new settings file, tried from now on.
+    /// Replaces the seeds, which are contacted at once.
     pub fn set_seeds(&mut self, now: Micros, seeds: Vec<SocketAddr>) -> Vec<Effect> {
         self.seeds = seeds;
         self.next_seed = now;
@@ -128,13 +130,13 @@
         effects
     }
 
-    /// Addresses of members that an earlier process of this node knew: some of them are tried beside the seeds until
-    /// anybody answers.
+    /// Sets the addresses of members that an earlier process of this node knew. Some of them are contacted in
+    /// addition to the seeds until any member answers.
     pub fn remember(&mut self, addresses: Vec<SocketAddr>) {
         self.remembered = addresses;
     }
 
-    /// Tells the others whether this process takes new work.
+    /// Announces whether this process accepts new work.
     pub fn set_ready(&mut self, now: Micros, ready: bool) -> Vec<Effect> {
         if self.own.info.ready == ready {
             return Vec::new();
@@ -142,21 +144,22 @@
         Arc::make_mut(&mut self.own.info).ready = ready;
         self.announce(self.own.incarnation + 1);
         let mut effects = Vec::new();
-        self.spread(&mut effects);
+        self.send_queued_rumors(&mut effects);
         self.schedule_from(now, &mut effects);
         effects
     }
 
-    /// This process goes. Some members are told at once, and the word spreads among them.
+    /// Announces that this process leaves. Some members are notified at once, and the rumor spreads among the
+    /// others.
     pub fn leave(&mut self) -> Vec<Effect> {
         self.own.status = Status::Left;
         self.announce(self.own.incarnation);
         let mut effects = Vec::new();
-        self.spread(&mut effects);
+        self.send_queued_rumors(&mut effects);
         effects
     }
 
-    /// A datagram arrived. One that cannot be read changes nothing.
+    /// Handles a datagram. An undecodable datagram changes nothing.
     pub fn datagram(
         &mut self, now: Micros, from: SocketAddr, bytes: &[u8],
     ) -> Result<Vec<Effect>, MembershipError> {
@@ -165,21 +168,21 @@
         if datagram.sender == self.own.info.name && datagram.life == self.own.info.life {
             return Ok(effects);
         }
-        self.answered = true;
+        self.has_contact = true;
         self.remembered = Vec::new();
         let is_bulk = datagram.body == Body::Members;
-        let mut is_news = false;
+        let mut is_new = false;
         for encoded in &datagram.rumors {
             if let Ok(rumor) = Rumor::read(encoded) {
-                is_news |= self.rumor(now, rumor, !is_bulk, &mut effects);
+                is_new |= self.merge_rumor(now, rumor, !is_bulk, &mut effects);
             }
         }
-        match (is_news, is_bulk) {
-            (true, true) => self.found_difference(now),
-            (true, false) => self.heard_news(now),
+        match (is_new, is_bulk) {
+            (true, true) => self.schedule_catch_up(now),
+            (true, false) => self.schedule_check(now),
             (false, _) => {}
         }
-        self.heard(from, &datagram, &mut effects);
+        self.handle_header(from, &datagram, &mut effects);
         match datagram.body {
             Body::Gossip | Body::Members => {}
             Body::Ping { number, target } => self.ping(from, number, &target, &mut effects),
@@ -193,7 +196,7 @@
         Ok(effects)
     }
 
-    /// The time has come that [`Membership::next_wake`] told. May be called at any time.
+    /// Fires all timers that are due, see [`Membership::next_wake`]. May be called at any time.
     pub fn tick(&mut self, now: Micros) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.own.status == Status::Left {
@@ -201,19 +204,20 @@
         }
         let late = now.saturating_sub(self.wake);
         if late > self.settings.stall {
-            self.postpone(late);
+            self.postpone_deadlines(late);
         }
         self.probe(now, &mut effects);
         self.end_suspicions(now, &mut effects);
-        self.reach_out(now, &mut effects);
+        self.compare_and_contact(now, &mut effects);
         self.gossip(now, &mut effects);
         self.schedule_from(now, &mut effects);
         effects
     }
 
-    /// This process stood still: what was not answered meanwhile may lie unread.
-    fn postpone(&mut self, late: Micros) {
-        self.probing.postpone(late);
+    /// This process was paused, so answers that arrived meanwhile may not have been read yet: moves its deadlines by
+    /// the delay.
+    fn postpone_deadlines(&mut self, late: Micros) {
+        self.probing.postpone_deadlines(late);
         for name in &self.suspects {
             if let Some(member) = self.table.get_mut(name) {
                 member.deadline += late;
@@ -221,12 +225,13 @@
         }
     }
 
-    /// Takes in what another member knows, and passes it on if it is asked to. Returns whether it was new.
-    pub(crate) fn rumor(
+    /// Merges a rumor into the table, and queues it for other members if `pass_on` is set. Returns whether it was
+    /// new.
+    pub(crate) fn merge_rumor(
         &mut self, now: Micros, rumor: Rumor, pass_on: bool, effects: &mut Vec<Effect>,
     ) -> bool {
         if rumor.info.name == self.own.info.name {
-            self.rumor_of_self(&rumor, effects);
+            self.refute(&rumor, effects);
             return false;
         }
         let deadline = match rumor.status {
@@ -241,21 +246,21 @@
                 self.next_gossip.min((self.last_gossip + self.settings.gossip_period).max(now));
         }
         if rumor.status == Status::Suspect {
-            self.suspected(now, &rumor.info, effects);
+            self.add_suspect(now, &rumor.info, effects);
         }
-        report(before, &rumor, effects);
+        report_change(before, &rumor, effects);
         true
     }
 
-    fn suspected(&mut self, now: Micros, info: &Arc<NodeInfo>, effects: &mut Vec<Effect>) {
+    fn add_suspect(&mut self, now: Micros, info: &Arc<NodeInfo>, effects: &mut Vec<Effect>) {
         if !self.suspects.contains(&info.name) {
             self.suspects.push(info.name.clone());
         }
         self.check_suspect(now, info, effects);
     }
 
-    /// Another member holds something wrong of this process: that is overridden.
-    fn rumor_of_self(&mut self, rumor: &Rumor, effects: &mut Vec<Effect>) {
+    /// Refutes a rumor about this process that is wrong.
+    fn refute(&mut self, rumor: &Rumor, effects: &mut Vec<Effect>) {
         if self.own.status == Status::Left {
             return;
         }
@@ -264,23 +269,24 @@
             Arc::make_mut(&mut self.own.info).life = life;
             effects.push(Effect::Restarted { life });
             self.announce(0);
-            self.spread(effects);
+            self.send_queued_rumors(effects);
         } else if rumor.info.life == self.own.info.life {
-            let refuted = rumor.status != Status::Alive && rumor.incarnation >= self.own.incarnation;
-            if refuted || rumor.incarnation > self.own.incarnation {
+            let must_refute = rumor.status != Status::Alive && rumor.incarnation >= self.own.incarnation;
+            if must_refute || rumor.incarnation > self.own.incarnation {
                 self.announce(rumor.incarnation.saturating_add(1));
-                self.spread(effects);
+                self.send_queued_rumors(effects);
             }
         }
     }
 
-    /// Learns from a datagram that its sender lives, and which digest it has.
-    fn heard(&mut self, from: SocketAddr, datagram: &Datagram, effects: &mut Vec<Effect>) {
+    /// Processes the header of a datagram: unknown senders are asked for a comparison, outdated or wrong knowledge
+    /// is corrected, and the digest is recorded.
+    fn handle_header(&mut self, from: SocketAddr, datagram: &Datagram, effects: &mut Vec<Effect>) {
         let Some(member) = self.table.get_mut(&datagram.sender) else {
-            return self.ask_stranger(from, &datagram.body, effects);
+            return self.request_comparison(from, &datagram.body, effects);
         };
         if member.info.life < datagram.life {
-            return self.ask_stranger(from, &datagram.body, effects);
+            return self.request_comparison(from, &datagram.body, effects);
         }
         if member.info.life > datagram.life {
             let rumor = member.rumor().write();
@@ -296,20 +302,20 @@
         }
     }
 
-    /// Gives this process's entry a new incarnation and queues it.
+    /// Sets the incarnation of this process's entry and queues the entry as a rumor.
     fn announce(&mut self, incarnation: u32) {
         self.own.incarnation = incarnation;
         self.rumors.add(self.own.info.name.clone(), self.own.rumor().write());
     }
 
-    /// Sends waiting rumors to some members at once.
-    fn spread(&mut self, effects: &mut Vec<Effect>) {
-        for address in self.random_members(LEAVE_FANOUT) {
+    /// Sends queued rumors to some members at once.
+    fn send_queued_rumors(&mut self, effects: &mut Vec<Effect>) {
+        for address in self.random_members(ANNOUNCE_FANOUT) {
             self.send(address, Body::Gossip, effects);
         }
     }
 
-    /// The addresses of some live members, each as likely as the others, in random order.
+    /// The addresses of up to `count` live members, chosen uniformly, in random order.
     pub(crate) fn random_members(&mut self, count: usize) -> Vec<SocketAddr> {
         let mut chosen: Vec<SocketAddr> = Vec::with_capacity(count);
         for (seen, member) in self.table.live().enumerate() {
@@ -330,7 +336,7 @@
         self.send_rumors(to, body, Vec::new(), effects);
     }
 
-    /// Sends a datagram with these rumors and as many of the waiting ones as there is room for.
+    /// Sends a datagram with these rumors, and as many queued rumors as fit.
     pub(crate) fn send_rumors(
         &mut self, to: SocketAddr, body: Body, mut rumors: Vec<serde_bytes::ByteBuf>,
         effects: &mut Vec<Effect>,
@@ -338,9 +344,9 @@
         if to == self.own.info.peer_address {
             return;
         }
-        let taken: usize = rumors.iter().map(|rumor| rumor.len() + 3).sum();
+        let used_bytes: usize = rumors.iter().map(|rumor| rumor.len() + 3).sum();
         let buckets = if let Body::Compare { buckets, .. } = &body { buckets.len() } else { 0 };
-        let room = crate::MOST_DATAGRAM_BYTES.saturating_sub(HEAD_BYTES + taken + buckets);
+        let room = crate::MOST_DATAGRAM_BYTES.saturating_sub(HEADER_BYTES + used_bytes + buckets);
         rumors.extend(self.rumors.take(room, self.table.live_count()));
         let sender = self.own.info.name.clone();
         let datagram = Datagram { sender, life: self.own.info.life, digest: self.own.digest, body, rumors };
@@ -348,8 +354,8 @@
     }
 }
 
-/// Tells what a newer rumor changed.
-fn report(before: Option<(Arc<NodeInfo>, Status)>, rumor: &Rumor, effects: &mut Vec<Effect>) {
+/// Reports the member change that a newer rumor caused.
+fn report_change(before: Option<(Arc<NodeInfo>, Status)>, rumor: &Rumor, effects: &mut Vec<Effect>) {
     let (was_live, same_life, same_info) = match &before {
         Some((info, status)) => (status.is_live(), info.life == rumor.info.life, *info == rumor.info),
         None => (false, true, false),
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams of membership.
+//! The datagrams that members exchange.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 
 use crate::table::Status;
 
-/// The largest datagram that is sent.
+/// Maximum size of a datagram.
 pub const MOST_DATAGRAM_BYTES: usize = 1200;
 
-/// What one member knows of another.
+/// What one member knows about another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Rumor {
     pub info: Arc<NodeInfo>,
@@ -22,14 +22,15 @@
     pub status: Status,
 }
 
-/// What a datagram is for.
+/// The purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    /// Rumors only, to be passed on.
+    /// Only rumors, which the receiver passes on.
     Gossip,
-    /// Members of parts of the table that differ. They are not passed on: whoever lacks them finds a difference too.
+    /// Members of the buckets that differ. The receiver does not pass them on: any process that lacks them finds the
+    /// difference in its own comparison.
     Members,
-    /// Answered by `Ack`, if the name is the receiver's.
+    /// Answered by `Ack`, if `target` is the name of the receiver.
     Ping {
         number: u32,
         target: NodeName,
@@ -37,21 +38,21 @@
     Ack {
         number: u32,
     },
-    /// Ping the target and pass its answer back.
+    /// Asks the receiver to ping the target and to forward the answer.
     PingRequest {
         number: u32,
         target: NodeName,
         address: SocketAddr,
     },
-    /// Hashes of the sender's table. The receiver sends the members of the parts that differ, and its own hashes if
-    /// `answer` is asked for.
+    /// Hashes of the buckets of the sender's table. The receiver sends the members of the buckets that differ, and
+    /// its own hashes if `answer` is set.
     Compare {
         buckets: ByteBuf,
         answer: bool,
     },
 }
 
-/// One datagram. The rumors follow, each encoded by itself.
+/// One datagram. Each rumor is encoded separately, so that an unreadable one can be skipped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Datagram {
     pub sender: NodeName,
@@ -63,20 +64,22 @@
     pub rumors: Vec<ByteBuf>,
 }
 
-/// Why a datagram was not taken.
+/// Why a datagram was rejected.
 #[derive(Debug)]
 pub enum MembershipError {
-    /// It is longer than any that a member sends.
+    /// The datagram is longer than `MOST_DATAGRAM_BYTES`.
     TooLong(usize),
-    /// It is not one of membership's.
+    /// The datagram cannot be decoded.
     Unreadable(FrameError),
 }
 
 impl fmt::Display for MembershipError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MembershipError::TooLong(length) => write!(f, "a datagram of {length} bytes is too long"),
-            MembershipError::Unreadable(error) => write!(f, "a datagram is not one of membership's: {error}"),
+            MembershipError::TooLong(length) => {
+                write!(f, "datagram of {length} bytes exceeds the maximum size")
+            }
+            MembershipError::Unreadable(error) => write!(f, "cannot decode membership datagram: {error}"),
         }
     }
 }
@@ -92,7 +95,7 @@
     }
 
     pub(crate) fn write(&self) -> Vec<u8> {
-        // Encoding plain values into memory does not fail; an empty datagram is ignored by its receiver.
+        // Encoding plain values into memory does not fail. The receiver ignores an empty datagram.
         frame::encode(self).unwrap_or_default()
     }
 }
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -11,38 +11,38 @@
 use crate::message::{Body, Rumor};
 use crate::table::Status;
 
-/// Of all that hear of a suspicion, about so many probe the suspect themselves.
+/// Expected number of members that probe a suspect themselves when they learn of the suspicion.
 const SUSPECT_CHECKS: usize = 4;
 
-/// The most probes for others that are remembered.
-const MOST_RELAYED: usize = 256;
+/// Maximum number of pending probes on behalf of other members.
+const MAX_RELAYED_PROBES: usize = 256;
 
-/// A probe that was not answered yet.
+/// A pending probe.
 struct Probe {
     number: u32,
     target: Arc<NodeInfo>,
-    /// When others are asked to probe; none once they were.
+    /// When other members are asked to probe the target; `None` once they were asked.
     ask_others_at: Option<Micros>,
-    /// When the target becomes a suspect.
+    /// When the target is suspected.
     deadline: Micros,
 }
 
-/// A probe on behalf of another member.
-struct Relayed {
+/// A pending probe on behalf of another member.
+struct RelayedProbe {
     number: u32,
     for_address: SocketAddr,
     for_number: u32,
     deadline: Micros,
 }
 
-/// Probes of this process.
+/// State of the probes that this process sends.
 pub(crate) struct Probing {
     next_number: u32,
     next_period: Micros,
-    /// The live members in a random order, probed one after the other.
+    /// Live members in random order, probed one after the other.
     order: Vec<NodeName>,
     open: Vec<Probe>,
-    relayed: Vec<Relayed>,
+    relayed: Vec<RelayedProbe>,
 }
 
 impl Probing {
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(crate) fn postpone(&mut self, by: Micros) {
+    pub(crate) fn postpone_deadlines(&mut self, by: Micros) {
         for probe in &mut self.open {
             probe.ask_others_at = probe.ask_others_at.map(|at| at + by);
             probe.deadline += by;
@@ -75,7 +75,7 @@
 }
 
 impl Membership {
-    /// Something suggests that a member is gone, such as a reset connection: it is probed at once.
+    /// Probes a member at once, because something suggests that it is gone, such as a reset connection.
     pub fn probe_now(&mut self, now: Micros, name: &NodeName) -> Vec<Effect> {
         let mut effects = Vec::new();
         let target =
@@ -87,7 +87,8 @@
         effects
     }
 
-    /// The port of a member refused a connection: its process has ended. It is dead soon unless it refutes.
+    /// The port of a member refused a connection, so its process has probably ended: suspects the member with a
+    /// short deadline, within which it can refute.
     pub fn connection_refused(&mut self, now: Micros, owner: &Owner) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.is_alive(owner) && owner.name != self.own.info.name {
@@ -105,9 +106,9 @@
         effects
     }
 
-    /// Starts the probe of each period, and acts on those that were not answered.
+    /// Starts the probes of each period, and handles the probes that were not answered.
     pub(crate) fn probe(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        self.follow_up(now, effects);
+        self.check_open_probes(now, effects);
         if now >= self.probing.next_period {
             self.probing.next_period = now + self.settings.probe_period;
             for _ in 0..self.settings.probes_per_period.min(self.table.live_count()) {
@@ -147,15 +148,16 @@
         self.send_ping(number, &target.name, target.peer_address, effects);
     }
 
-    /// Pings a member; one that is suspected or held dead is told so, and can refute it.
+    /// Pings a member. If the member is suspected or considered dead here, the ping contains that rumor, so that the
+    /// member can refute it.
     fn send_ping(&mut self, number: u32, target: &NodeName, to: SocketAddr, effects: &mut Vec<Effect>) {
         let member = self.table.get(target).filter(|member| member.status != Status::Alive);
-        let told = member.map(|member| member.rumor().write()).into_iter().collect();
-        self.send_rumors(to, Body::Ping { number, target: target.clone() }, told, effects);
+        let refutable = member.map(|member| member.rumor().write()).into_iter().collect();
+        self.send_rumors(to, Body::Ping { number, target: target.clone() }, refutable, effects);
     }
 
-    /// Asks others to probe after the timeout, and suspects at the deadline.
-    fn follow_up(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    /// Asks other members to probe the target after the timeout, and suspects the target at the deadline.
+    fn check_open_probes(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let open = std::mem::take(&mut self.probing.open);
         for mut probe in open {
             if now >= probe.deadline {
@@ -164,13 +166,13 @@
             }
             if probe.ask_others_at.is_some_and(|at| now >= at) {
                 probe.ask_others_at = None;
-                self.ask_others(&probe, effects);
+                self.request_indirect_probes(&probe, effects);
             }
             self.probing.open.push(probe);
         }
     }
 
-    fn ask_others(&mut self, probe: &Probe, effects: &mut Vec<Effect>) {
+    fn request_indirect_probes(&mut self, probe: &Probe, effects: &mut Vec<Effect>) {
         let (target, address) = (probe.target.name.clone(), probe.target.peer_address);
         for helper in self.random_members(self.settings.indirect_probes + 1) {
             if helper != address {
@@ -186,18 +188,18 @@
         let Some(member) = self.table.get(&target.name) else { return };
         if member.status == Status::Alive && member.info.life == target.life {
             let rumor = Rumor { status: Status::Suspect, ..member.rumor() };
-            self.rumor(now, rumor, true, effects);
+            self.merge_rumor(now, rumor, true, effects);
         }
     }
 
-    /// A few of those that hear of a suspicion look for themselves.
+    /// Probes a suspect with a probability such that about `SUSPECT_CHECKS` of all members probe it.
     pub(crate) fn check_suspect(&mut self, now: Micros, info: &Arc<NodeInfo>, effects: &mut Vec<Effect>) {
         if self.random.below(self.table.live_count()) < SUSPECT_CHECKS {
             self.start_probe(now, info.clone(), effects);
         }
     }
 
-    /// Suspects that did not refute in time are dead.
+    /// Declares the suspects dead that did not refute in time.
     pub(crate) fn end_suspicions(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let suspects = std::mem::take(&mut self.suspects);
         for name in suspects {
@@ -210,7 +212,7 @@
                 continue;
             }
             let rumor = Rumor { status: Status::Dead, ..member.rumor() };
-            self.rumor(now, rumor, true, effects);
+            self.merge_rumor(now, rumor, true, effects);
         }
     }
 
@@ -222,17 +224,22 @@
         }
     }
 
-    /// Pings the target for another member.
+    /// Pings a target on behalf of another member.
     pub(crate) fn ping_request(
-        &mut self, now: Micros, asker: (SocketAddr, u32), target: NodeName, address: SocketAddr,
+        &mut self, now: Micros, requester: (SocketAddr, u32), target: NodeName, address: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
-        if self.probing.relayed.len() >= MOST_RELAYED {
+        if self.probing.relayed.len() >= MAX_RELAYED_PROBES {
             return;
         }
         let number = self.probing.number();
         let deadline = now + 2 * self.settings.probe_period;
-        self.probing.relayed.push(Relayed { number, for_address: asker.0, for_number: asker.1, deadline });
+        self.probing.relayed.push(RelayedProbe {
+            number,
+            for_address: requester.0,
+            for_number: requester.1,
+            deadline,
+        });
         self.send_ping(number, &target, address, effects);
     }
 
--- a/crates/membership/src/rumors.rs
+++ b/crates/membership/src/rumors.rs
@@ -1,60 +1,60 @@
-//! Rumors that still have to be spread, fewest transmissions first.
+//! Rumors that are still to be spread, least transmitted first.
 
 use std::collections::{BTreeMap, HashMap};
 
 use pewterseam_wire::identity::NodeName;
 use serde_bytes::ByteBuf;
 
-/// Each rumor goes out this many times the logarithm of the number of members.
+/// Each rumor is sent this many times the base-2 logarithm of the number of members.
 const RETRANSMIT_FACTOR: f64 = 3.0;
 
-/// A rumor that went out less often is sent without waiting for probes.
-const FRESH: u32 = 6;
+/// A rumor that was sent fewer times is fresh: it is sent without waiting for probes.
+const FRESH_TRANSMISSIONS: u32 = 6;
 
-/// Bytes that the length of a rumor takes in a datagram.
+/// Bytes of the length prefix of a rumor in a datagram.
 const LENGTH_BYTES: usize = 3;
 
-/// No rumor is shorter: with less room left, none is looked for.
-const SHORTEST: usize = 40;
+/// Minimum size of a rumor. The search for rumors ends when less room is left.
+const MIN_RUMOR_BYTES: usize = 40;
 
-/// The order in which rumors go out: how often they did, then the newest first.
-type Place = (u32, u64);
+/// Send order of rumors: by number of transmissions, then newest first.
+type SendOrder = (u32, u64);
 
 struct Pending {
     encoded: ByteBuf,
-    place: Place,
+    order: SendOrder,
 }
 
 /// The newest rumor about each member, until it was sent often enough.
 #[derive(Default)]
 pub(crate) struct Rumors {
     pending: HashMap<NodeName, Pending>,
-    queue: BTreeMap<Place, NodeName>,
+    queue: BTreeMap<SendOrder, NodeName>,
     added: u64,
 }
 
 impl Rumors {
-    /// Replaces an older rumor about the same member.
+    /// Adds a rumor, which replaces an older one about the same member.
     pub(crate) fn add(&mut self, about: NodeName, encoded: ByteBuf) {
         self.added += 1;
-        let place = (0, u64::MAX - self.added);
-        self.queue.insert(place, about.clone());
-        if let Some(replaced) = self.pending.insert(about, Pending { encoded, place }) {
-            self.queue.remove(&replaced.place);
+        let order = (0, u64::MAX - self.added);
+        self.queue.insert(order, about.clone());
+        if let Some(replaced) = self.pending.insert(about, Pending { encoded, order }) {
+            self.queue.remove(&replaced.order);
         }
     }
 
-    /// Whether some rumor was hardly sent yet.
+    /// Whether a fresh rumor is queued.
     pub(crate) fn has_fresh(&self) -> bool {
-        self.queue.first_key_value().is_some_and(|((sent, _), _)| *sent < FRESH)
+        self.queue.first_key_value().is_some_and(|((sent, _), _)| *sent < FRESH_TRANSMISSIONS)
     }
 
-    /// The rumors for one datagram with this much room, the least sent first.
+    /// Takes rumors for a datagram with this much room, least transmitted first.
     pub(crate) fn take(&mut self, room: usize, members: usize) -> Vec<ByteBuf> {
-        let most = (RETRANSMIT_FACTOR * ((members + 1) as f64).log2()).ceil().max(2.0) as u32;
+        let max_transmissions = (RETRANSMIT_FACTOR * ((members + 1) as f64).log2()).ceil().max(2.0) as u32;
         let (mut names, mut left) = (Vec::new(), room);
         for name in self.queue.values() {
-            if left < SHORTEST {
+            if left < MIN_RUMOR_BYTES {
                 break;
             }
             let length =
@@ -64,18 +64,18 @@
                 names.push(name.clone());
             }
         }
-        names.into_iter().filter_map(|name| self.sent(name, most)).collect()
+        names.into_iter().filter_map(|name| self.count_transmission(name, max_transmissions)).collect()
     }
 
-    /// Counts one sending of a rumor, and drops it after the last.
-    fn sent(&mut self, about: NodeName, most: u32) -> Option<ByteBuf> {
+    /// Counts a transmission of a rumor, and drops the rumor after the last one.
+    fn count_transmission(&mut self, about: NodeName, max_transmissions: u32) -> Option<ByteBuf> {
         let rumor = self.pending.get_mut(&about)?;
-        self.queue.remove(&rumor.place);
-        rumor.place.0 += 1;
-        if rumor.place.0 >= most {
+        self.queue.remove(&rumor.order);
+        rumor.order.0 += 1;
+        if rumor.order.0 >= max_transmissions {
             return self.pending.remove(&about).map(|rumor| rumor.encoded);
         }
-        self.queue.insert(rumor.place, about);
+        self.queue.insert(rumor.order, about);
         Some(rumor.encoded.clone())
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,41 +1,42 @@
-//! The times and numbers of membership.
+//! Timing and fan-out settings of membership.
 
 use pewterseam_wire::Micros;
 
 const MILLISECOND: Micros = 1_000;
 
-/// How often members are probed and when they are given up.
+/// How often members are probed, and when they are declared dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Each member probes some other members in each period.
+    /// Each member probes some other members once in this period.
     pub probe_period: Micros,
-    /// Members that one member probes in each period.
+    /// Number of members that each member probes per period.
     pub probes_per_period: usize,
-    /// An answer later than this makes other members probe too. Less than the period.
+    /// If the target does not answer within this time, other members are asked to probe it too. Must be less than
+    /// the period.
     pub probe_timeout: Micros,
-    /// So many other members are asked to probe.
+    /// Number of other members that are asked to probe.
     pub indirect_probes: usize,
-    /// The shortest suspicion, for about 20 members. It grows with the logarithm of their number.
+    /// Minimum time of suspicion, for up to 20 members. It grows with the logarithm of the number of members.
     pub suspicion: Micros,
-    /// The suspicion of a member whose port refused a connection: nothing runs there.
+    /// Time of suspicion of a member whose port refused a connection, which means that nothing runs there.
     pub refused_suspicion: Micros,
-    /// Between two bursts of fresh rumors.
+    /// Interval between two rounds of gossip of fresh rumors.
     pub gossip_period: Micros,
-    /// Members that a burst goes to.
+    /// Number of members that a round of gossip goes to.
     pub gossip_fanout: usize,
-    /// Between two comparisons of the whole table with a random member.
+    /// Interval between two comparisons of the whole table with a random member.
     pub compare_period: Micros,
-    /// Between two comparisons while the last one found differences.
+    /// Interval between two comparisons while the last ones found differences.
     pub catch_up_period: Micros,
-    /// From news to a comparison that shows whether there was more.
+    /// Delay between a new rumor and the comparison that shows whether others were missed.
     pub check_period: Micros,
-    /// Between two attempts to reach a seed that is no live member, before any member answered.
+    /// Interval between attempts to contact seeds that are not live members, until any member has answered.
     pub join_period: Micros,
-    /// The same once members are known.
+    /// The same interval once a member has answered.
     pub seed_period: Micros,
-    /// So long the dead are remembered.
+    /// How long dead members are remembered.
     pub forget_after: Micros,
-    /// A wake-up later than this shows that this process was stalled: its deadlines move by the delay.
+    /// A wake-up that is later than this shows that the process was paused: its deadlines move by the delay.
     pub stall: Micros,
 }
 
@@ -61,7 +62,7 @@
     }
 }
 
-/// Members for which `suspicion` holds as it is.
+/// Number of members up to which `suspicion` applies unscaled.
 const SUSPICION_MEMBERS: f64 = 20.0;
 
 impl MembershipSettings {
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of members and the order of knowledge about them.
+//! The member table, and the order that decides which knowledge about a member wins.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 
 use crate::message::Rumor;
 
-/// Parts of the table that are compared by hash.
+/// Number of buckets that the table is divided into for comparison by hash.
 pub(crate) const BUCKETS: usize = 64;
 
-/// Bytes of a bucket's hash.
+/// Size of the hash of a bucket.
 const HASH_BYTES: usize = 4;
 
-/// What is held of a member. Among equal lives and incarnations, the later one here wins.
+/// Status of a member. With equal life and incarnation, the variant declared later wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Status {
     Alive,
-    /// It did not answer. It is treated as alive until the suspicion ends.
+    /// The member did not answer. It is treated as live until the suspicion ends.
     Suspect,
     Dead,
-    /// It said that it goes.
+    /// The member announced that it leaves.
     Left,
 }
 
@@ -34,14 +34,14 @@
     }
 }
 
-/// A member with what is known of it.
+/// A member and what is known about it.
 pub(crate) struct Member {
     pub info: Arc<NodeInfo>,
     pub incarnation: u32,
     pub status: Status,
-    /// When a suspicion turns into a death, or the dead are forgotten.
+    /// When a suspect is declared dead, or a dead member is removed.
     pub deadline: Micros,
-    /// The highest digest that it told in this life.
+    /// The highest digest that the member sent in this life.
     pub digest: u64,
 }
 
@@ -54,7 +54,7 @@
         Rumor { info: self.info.clone(), incarnation: self.incarnation, status: self.status }
     }
 
-    /// A suspicion is not compared: it settles by itself.
+    /// A suspicion does not change the hash, because it resolves without a comparison.
     fn hash(&self) -> u32 {
         let rank = if self.status.is_live() { 0 } else { 1 };
         let seed = self.info.life.0 ^ (u64::from(self.incarnation) << 40) ^ rank;
@@ -62,18 +62,18 @@
     }
 }
 
-/// All members but this process itself.
+/// All members except this process itself.
 #[derive(Default)]
 pub(crate) struct Table {
     members: BTreeMap<NodeName, Member>,
     live: usize,
 }
 
-/// What a rumor did to the table.
+/// The result of merging a rumor into the table.
 pub(crate) enum Merge {
-    /// It tells nothing new.
+    /// The rumor contains nothing new.
     Known,
-    /// It is newer. The member as it was, if there was one.
+    /// The rumor is newer. `before` is the previous state of the member, if it was known.
     Newer { before: Option<(Arc<NodeInfo>, Status)> },
 }
 
@@ -86,7 +86,7 @@
         self.members.get_mut(name)
     }
 
-    /// Members that are alive or suspected.
+    /// Number of members that are alive or suspected.
     pub(crate) fn live_count(&self) -> usize {
         self.live
     }
@@ -99,7 +99,7 @@
         self.members.values().filter(|member| member.status.is_live())
     }
 
-    /// Takes a rumor in if it is greater than what is known. A death of a stranger is not worth a place.
+    /// Merges a rumor if it is greater than the present knowledge. The death of an unknown member is not stored.
     pub(crate) fn merge(&mut self, rumor: &Rumor, deadline: Micros) -> Merge {
         let rank = (rumor.info.life.0, rumor.incarnation, rumor.status);
         match self.members.get_mut(&rumor.info.name) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Drops the dead whose time is over.
+    /// Removes the dead members whose deadline has passed.
     pub(crate) fn forget(&mut self, now: Micros) {
         self.members.retain(|_, member| member.status.is_live() || member.deadline > now);
     }
@@ -142,7 +142,7 @@
         (hash(name.0.as_bytes(), 0) % BUCKETS as u64) as usize
     }
 
-    /// The hash of each bucket, with this process's own entry. The dead count as absent.
+    /// The hash of each bucket, including the entry of this process. Dead members count as absent.
     pub(crate) fn bucket_hashes(&self, own: &Member) -> ByteBuf {
         let mut hashes = [0_u32; BUCKETS];
         for member in self.live().chain(std::iter::once(own)) {
@@ -151,7 +151,7 @@
         ByteBuf::from(hashes.iter().flat_map(|hash| hash.to_be_bytes()).collect::<Vec<u8>>())
     }
 
-    /// The buckets in which two tables differ; none if the hashes are not of this form.
+    /// The buckets in which two tables differ, or none if the hashes have another length.
     pub(crate) fn differing(ours: &[u8], theirs: &[u8]) -> Vec<usize> {
         if ours.len() != theirs.len() {
             return Vec::new();
--- a/crates/queue/src/accept.rs
+++ b/crates/queue/src/accept.rs
@@ -1,4 +1,5 @@
-//! Taking a message: which messages of its key are open, the record on a write quorum, the client's answer.
+//! Accepts a message from a client: lists the open messages of its ordering key, writes the record to a write quorum
+//! and answers the client.
 
 use std::collections::BTreeSet;
 
@@ -13,24 +14,25 @@
 use crate::machine::Queue;
 use crate::message::{Message, Stage};
 
-/// Part of the client's patience after which it is answered, whatever is known.
-const PATIENCE_PART: f64 = 0.9;
-/// Part of the client's patience after which it is refused if the stores have not told of open messages of the key: nothing
-/// is written then, and the client has the rest for another relay.
-const LISTING_PART: f64 = 0.45;
-/// When a client is told to come back while the stores cannot be reached.
-const RETRY_AFTER_STORES_MS: u64 = 1_000;
-/// When a client is told to come back where another relay may reach the stores.
+/// Fraction of the client timeout after which the client gets an answer, whatever the result so far.
+const ANSWER_DEADLINE_FRACTION: f64 = 0.9;
+/// Fraction of the client timeout after which the message is declined if the stores have not listing_answered the open
+/// messages of its ordering key. Nothing is written by then, and the client has the remaining time to try another
+/// relay.
+const LISTING_DEADLINE_FRACTION: f64 = 0.45;
+/// `Retry-After` for a client while the stores cannot be reached.
+const RETRY_AFTER_NO_QUORUM_MS: u64 = 1_000;
+/// `Retry-After` for a client when another relay may reach the stores.
 const RETRY_AFTER_LISTING_MS: u64 = 0;
-/// When a client is told to come back while too much is held.
+/// `Retry-After` for a client while this relay holds as many messages or bytes as it may.
 const RETRY_AFTER_FULL_MS: u64 = 500;
-/// Open messages of one key that a new one may have as predecessors.
-const MOST_PREDECESSORS: usize = 400;
+/// Maximum number of open messages of one ordering key that a new message may have as predecessors.
+const MAX_PREDECESSORS: usize = 400;
 
 const MILLISECOND: Micros = 1_000;
 
 impl Queue {
-    /// A client hands in a message.
+    /// Accepts or declines a message that a client submits.
     pub fn accept(&mut self, now: Micros, wall: WallMicros, new: NewMessage) -> Vec<Effect> {
         self.now = now;
         let policy = self.routes.routes.get(&new.route_key);
@@ -38,20 +40,21 @@
         if policy.is_none() || !self.has_room(new.body.len()) {
             self.answer(new.token, Answer::Declined { retry_after_ms: RETRY_AFTER_FULL_MS });
         } else if let Some(partition) = self.writable_partition(&new) {
-            self.take(new, partition, retention_ms, wall);
+            self.begin_accept(new, partition, retention_ms, wall);
         } else {
-            self.answer(new.token, Answer::Declined { retry_after_ms: RETRY_AFTER_STORES_MS });
+            self.answer(new.token, Answer::Declined { retry_after_ms: RETRY_AFTER_NO_QUORUM_MS });
         }
         self.take_effects()
     }
 
-    /// Whether the stores that a new message would go to can be written to, as far as is known.
+    /// Whether the stores of a new message are writable, as far as this relay knows.
     pub fn can_accept(&self, new: &NewMessage) -> bool {
         self.writable_partition(new).is_some()
     }
 
-    /// The partition of a new message, if its stores can be written to. One with an ordering key has that of its key; for
-    /// another one it is chosen so that its stores can be written to, and are near.
+    /// The partition of a new message, or `None` if its stores are not writable. A message with an ordering key
+    /// belongs to the partition of that key; any other message goes to the first candidate partition (near stores
+    /// first) that is writable.
     fn writable_partition(&self, new: &NewMessage) -> Option<Partition> {
         let can_write = |partition: &Partition| self.stores.can_write(*partition);
         match &new.ordering_key {
@@ -65,9 +68,10 @@
             && self.body_bytes + bytes <= self.settings.most_body_bytes
     }
 
-    fn take(&mut self, new: NewMessage, partition: Partition, retention_ms: u64, wall: WallMicros) {
-        let part = |part: f64| (new.patience_ms as f64 * part) as Micros * MILLISECOND;
-        let (patience, listing) = (part(PATIENCE_PART), part(LISTING_PART));
+    fn begin_accept(&mut self, new: NewMessage, partition: Partition, retention_ms: u64, wall: WallMicros) {
+        let share_of_timeout = |fraction: f64| (new.patience_ms as f64 * fraction) as Micros * MILLISECOND;
+        let (answer_after, listing_after) =
+            (share_of_timeout(ANSWER_DEADLINE_FRACTION), share_of_timeout(LISTING_DEADLINE_FRACTION));
         let (token, delay, is_ordered) = (new.token, new.delay_ms * MILLISECOND, new.ordering_key.is_some());
         let record = Record {
             name: MessageName::new(&new.request_id, partition),
@@ -100,10 +104,10 @@
             self.answer(token, Answer::Declined { retry_after_ms: RETRY_AFTER_FULL_MS });
             return;
         };
-        self.clock.set(self.now + patience, Timer::Patience(key));
+        self.clock.set(self.now + answer_after, Timer::ClientDeadline(key));
         if is_ordered {
-            self.clock.set(self.now + listing, Timer::Listing(key));
-            self.list_open(key);
+            self.clock.set(self.now + listing_after, Timer::ListingDeadline(key));
+            self.list_open_messages(key);
         } else {
             self.write(key);
         }
@@ -120,47 +124,47 @@
         }
     }
 
-    /// Nothing was written anywhere: the message is forgotten and the client may come back.
+    /// No store was sent the record: drops the message and tells the client that it may retry.
     fn decline(&mut self, key: MessageKey, retry_after_ms: u64) {
         self.answer_client(key, Answer::Declined { retry_after_ms });
         self.remove(key);
     }
 
-    /// The stores were asked for open messages of the key for long enough. Another relay may reach them, so that the client
-    /// may come at once.
-    pub(crate) fn listing_over(&mut self, key: MessageKey) {
+    /// The stores did not list the open messages of the ordering key in time. Declines the message; the client may
+    /// retry at once, because another relay may reach the stores.
+    pub(crate) fn listing_deadline_passed(&mut self, key: MessageKey) {
         let is_listing = |message: &Message| matches!(message.stage, Stage::Listing { .. });
         if self.messages.get(&key).is_some_and(is_listing) {
             self.decline(key, RETRY_AFTER_LISTING_MS);
         }
     }
 
-    /// The client's patience is over.
-    pub(crate) fn patience_over(&mut self, key: MessageKey) {
+    /// Answers a client that is still waiting shortly before its timeout.
+    pub(crate) fn client_deadline_passed(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
         if message.client.is_none() {
             return;
         }
         match message.stage {
-            Stage::Listing { .. } => self.decline(key, RETRY_AFTER_STORES_MS),
-            _ if !message.may_have_copy() => self.decline(key, RETRY_AFTER_STORES_MS),
-            // It may run: no promise can be made.
+            Stage::Listing { .. } => self.decline(key, RETRY_AFTER_NO_QUORUM_MS),
+            _ if !message.may_have_copy() => self.decline(key, RETRY_AFTER_NO_QUORUM_MS),
+            // A store may hold the record, so the message may still run.
             _ => self.answer_client(key, Answer::Unknown),
         }
     }
 
-    // Which messages of the key are open.
+    // Listing the open messages of the ordering key.
 
-    pub(crate) fn list_open(&mut self, key: MessageKey) {
+    pub(crate) fn list_open_messages(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
         let stores = self.stores.first_choice(message.record.partition, self.now, Group::read_quorum);
         for store in stores {
-            self.ask_open(key, &store);
+            self.request_listing(key, &store);
         }
         self.set_hedge(key);
     }
 
-    fn ask_open(&mut self, key: MessageKey, store: &StoreId) {
+    fn request_listing(&mut self, key: MessageKey, store: &StoreId) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         let Some(ordering_key) = message.record.ordering_key.clone() else { return };
         let partition = message.record.partition;
@@ -169,7 +173,7 @@
         self.ask(store, Purpose::List(key), request);
     }
 
-    pub(crate) fn listed(&mut self, key: MessageKey, store: StoreId, names: Vec<MessageName>) {
+    pub(crate) fn listing_answered(&mut self, key: MessageKey, store: StoreId, names: Vec<MessageName>) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         let Stage::Listing { answered, found } = &mut message.stage else { return };
         answered.insert(store);
@@ -179,8 +183,8 @@
         }
         let mut found = std::mem::take(found);
         found.remove(&message.record.name);
-        if found.len() > MOST_PREDECESSORS {
-            self.decline(key, RETRY_AFTER_STORES_MS);
+        if found.len() > MAX_PREDECESSORS {
+            self.decline(key, RETRY_AFTER_NO_QUORUM_MS);
             return;
         }
         message.record.predecessors = found.iter().cloned().collect();
@@ -192,11 +196,11 @@
 
     pub(crate) fn listing_failed(&mut self, key: MessageKey) {
         if self.messages.get(&key).is_some_and(|message| matches!(message.stage, Stage::Listing { .. })) {
-            self.ask_further(key);
+            self.ask_next_store(key);
         }
     }
 
-    // The record on a write quorum.
+    // Writing the record to a write quorum.
 
     pub(crate) fn write(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
@@ -223,9 +227,9 @@
         let is_written = self.stores.placement.is_written(message.record.partition, &message.written);
         if message.stage == Stage::Writing && is_written {
             let name = message.record.name.clone();
-            let has_moved_on = message.has_moved_on;
+            let may_be_owned_elsewhere = message.may_be_owned_elsewhere;
             self.answer_client(key, Answer::Accepted { name });
-            if has_moved_on { self.verify(key, 0) } else { self.begin_waiting(key) }
+            if may_be_owned_elsewhere { self.verify(key, 0) } else { self.begin_waiting(key) }
         }
     }
 
@@ -235,7 +239,7 @@
         self.append_failed(key);
     }
 
-    /// Whether the store took the record is not known: it is asked again once it answers.
+    /// It is unknown whether the store has the record. The store is sent the record again once it responds.
     pub(crate) fn append_unanswered(&mut self, key: MessageKey, store: StoreId) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         message.unanswered.insert(store);
@@ -244,11 +248,11 @@
 
     pub(crate) fn append_failed(&mut self, key: MessageKey) {
         if self.messages.get(&key).is_some_and(|message| message.stage == Stage::Writing) {
-            self.ask_further(key);
+            self.ask_next_store(key);
         }
     }
 
-    // A further store.
+    // Hedging: asking another store when the first ones are slow or fail.
 
     fn set_hedge(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
@@ -259,42 +263,43 @@
     pub(crate) fn hedge(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
         if matches!(message.stage, Stage::Listing { .. } | Stage::Writing) {
-            self.ask_further(key);
+            self.ask_next_store(key);
             self.set_hedge(key);
         }
     }
 
-    /// Asks the best store that was not asked yet; when all were asked, the best that declined, or whose answer was lost
-    /// some time ago, is asked again by the next hedge.
+    /// Asks the highest-ranked store that was not asked yet. When all stores were asked, asks the highest-ranked
+    /// store that declined, or whose response was lost some time ago; the next hedge does so again.
     ///
-    /// Danger: a record that too few stores have, and that nobody writes again, holds up all later ones of its key.
-    fn ask_further(&mut self, key: MessageKey) {
+    /// Without the retry, a record that too few stores have would be written by nobody and would block all later
+    /// messages of its ordering key.
+    fn ask_next_store(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
         let ranked = self.stores.ranked(message.record.partition, self.now);
-        let fresh = ranked.iter().find(|store| !message.asked.contains(store)).cloned();
-        let again = || {
+        let not_asked = ranked.iter().find(|store| !message.asked.contains(store)).cloned();
+        let retryable = || {
             let is_lost = |store: &StoreId| {
                 message.unanswered.contains(store) && !self.stores.is_avoided(store, self.now)
             };
-            let missing = |store: &&StoreId| {
+            let can_retry = |store: &&StoreId| {
                 self.stores.is_live(store) && (message.declined.contains(*store) || is_lost(store))
             };
-            ranked.iter().find(missing).cloned()
+            ranked.iter().find(can_retry).cloned()
         };
         let is_listing = matches!(message.stage, Stage::Listing { .. });
-        let Some(store) = fresh.or_else(again) else { return };
-        if is_listing { self.ask_open(key, &store) } else { self.append(key, &store) }
+        let Some(store) = not_asked.or_else(retryable) else { return };
+        if is_listing { self.request_listing(key, &store) } else { self.append(key, &store) }
     }
 
-    /// The stores changed: what is on its way is asked anew where a quorum is missing.
-    pub(crate) fn ask_again(&mut self, key: MessageKey) {
+    /// The placement changed: repeats the listing, or sends the record to the first-choice stores that lack it.
+    pub(crate) fn restart_quorum(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         match &mut message.stage {
             Stage::Listing { answered, found } => {
                 answered.clear();
                 found.clear();
                 message.asked.clear();
-                self.list_open(key);
+                self.list_open_messages(key);
             }
             Stage::Writing => {
                 let written = message.written.clone();
--- a/crates/queue/src/adopt.rs
+++ b/crates/queue/src/adopt.rs
@@ -1,4 +1,5 @@
-//! Taking over messages whose owner is gone, and making sure of the own ones after a standstill.
+//! Adopts messages whose owner is gone, and re-checks the ownership of messages held here after the process was
+//! paused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,22 +14,22 @@
 use crate::machine::Queue;
 use crate::message::{Message, Stage};
 
-/// When facts about an orphan are asked for again.
-const ADOPT_AGAIN: Micros = 500_000;
+/// Delay before the facts about an orphaned message are requested again.
+const ADOPTION_RETRY_DELAY: Micros = 500_000;
 const MILLISECOND: Micros = 1_000;
 
-/// What a store's word on an orphan means.
-enum Verdict {
+/// What a store's response means for the adoption of an orphaned message.
+enum AdoptionCheck {
     /// More answers are needed.
-    Unsure,
-    /// It may be claimed.
-    Free,
-    /// Another live relay owns it.
-    Taken,
+    Undecided,
+    /// No live relay owns the message: it may be claimed.
+    Claimable,
+    /// Another live relay owns the message.
+    OwnedElsewhere,
 }
 
 impl Queue {
-    /// A store tells something unasked.
+    /// Handles a notice that a store sends without a request.
     pub fn notice(&mut self, now: Micros, notice: StoreNotice) -> Vec<Effect> {
         self.now = now;
         match notice {
@@ -46,14 +47,15 @@
         for orphan in orphans {
             match self.by_name.get(&orphan.record.name) {
                 Some(key) => self.assert_ownership(*key, orphan.claim),
-                None if self.is_over(&orphan) => self.tell_over(orphan),
+                None if self.is_expired(&orphan) => self.report_expired(orphan),
                 None => keys.extend(self.insert_orphan(orphan)),
             }
         }
         self.ask_facts(&keys);
     }
 
-    /// A store offers a message that is owned here: it has missed the claim or the end.
+    /// A store offers a message that this relay owns: the store has missed the claim or the end, so it is sent a
+    /// higher claim, or the end again.
     fn assert_ownership(&mut self, key: MessageKey, claim: u32) {
         let Some(message) = self.messages.get(&key) else { return };
         match message.stage {
@@ -63,41 +65,43 @@
         }
     }
 
-    /// Time that a message of another relay has in all. How long its stores were away may be told wrong, as that goes by the
-    /// time of day.
-    fn time_of_orphan(&self, orphan: &OrphanMessage) -> Micros {
+    /// Total lifetime of a message of another relay. It includes the maximum clock error, because the time that its
+    /// stores were down is measured by the wall clock and may be wrong.
+    fn lifetime_of_orphan(&self, orphan: &OrphanMessage) -> Micros {
         orphan.record.retention_ms * MILLISECOND + RETENTION_MARGIN + self.settings.clock_error
     }
 
-    fn is_over(&self, orphan: &OrphanMessage) -> bool {
-        (orphan.age_ms + orphan.away_ms) * MILLISECOND >= self.time_of_orphan(orphan)
+    fn is_expired(&self, orphan: &OrphanMessage) -> bool {
+        (orphan.age_ms + orphan.away_ms) * MILLISECOND >= self.lifetime_of_orphan(orphan)
     }
 
-    /// The time of a message that a store offers is over: it is not run, whatever the store knows of it.
+    /// The retention of an offered message has passed: it is reported as expired and not run, whatever the store
+    /// knows of it.
     ///
-    /// Danger: the store may have missed its end, and those that knew it may have forgotten it by now.
-    fn tell_over(&mut self, orphan: OrphanMessage) {
+    /// Running it could run it twice: the store may have missed its end, and the stores that knew the end may have
+    /// deleted it by now.
+    fn report_expired(&mut self, orphan: OrphanMessage) {
         let stores = self.stores.placement.stores(orphan.record.partition);
         let name = orphan.record.name;
-        self.post(&stores, &Fact::Ended { name: name.clone(), end: End::Expired });
+        self.broadcast_fact(&stores, &Fact::Ended { name: name.clone(), end: End::Expired });
         self.unblock_successors(&name);
     }
 
     fn insert_orphan(&mut self, orphan: OrphanMessage) -> Option<MessageKey> {
         let (delay, age) = (orphan.record.delay_ms * MILLISECOND, orphan.age_ms * MILLISECOND);
-        let left = self.time_of_orphan(&orphan);
+        let left = self.lifetime_of_orphan(&orphan);
         let stage = Stage::Adopting { answered: BTreeSet::new(), from: orphan.owner, claim: orphan.claim };
         let mut message = Message::new(orphan.record, stage, self.now);
         message.is_adopted = true;
         message.blockers = message.record.predecessors.iter().cloned().collect();
         message.failures = orphan.failures;
-        // One that should have run keeps its place among those that wait; it does not count as due only now.
+        // An overdue message keeps its original due time and so its place among the waiting messages.
         message.due_at = (self.now + delay).saturating_sub(age);
         message.expires_at = self.now + left.saturating_sub(age + orphan.away_ms * MILLISECOND);
         self.insert(message)
     }
 
-    /// Asks every store of the messages' partitions, one request a store.
+    /// Requests facts from every store of the messages' partitions, with one request per store.
     fn ask_facts(&mut self, keys: &[MessageKey]) {
         let mut by_store: BTreeMap<StoreId, (Vec<MessageKey>, Vec<MessageName>)> = BTreeMap::new();
         for key in keys {
@@ -107,17 +111,17 @@
                 keys.push(*key);
                 names.push(message.record.name.clone());
             }
-            self.clock.set(self.now + ADOPT_AGAIN, Timer::RetryAdoption(*key));
+            self.clock.set(self.now + ADOPTION_RETRY_DELAY, Timer::RetryAdoption(*key));
         }
         for (store, (keys, names)) in by_store {
             self.ask(&store, Purpose::Adopt(keys), StoreRequest::Look { names });
         }
     }
 
-    /// Facts or claims are still missing: both are asked for anew.
+    /// Facts or claims are still missing: starts again with the request for facts.
     pub(crate) fn retry_adoption(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get_mut(&key) else { return };
-        if message.since + ADOPT_AGAIN > self.now {
+        if message.stage_since + ADOPTION_RETRY_DELAY > self.now {
             return;
         }
         match &mut message.stage {
@@ -134,17 +138,19 @@
     pub(crate) fn orphans_checked(&mut self, keys: &[MessageKey], store: &StoreId, statuses: Vec<Status>) {
         for (key, status) in keys.iter().zip(statuses) {
             match self.orphan_checked(*key, store, status) {
-                Verdict::Unsure => {}
-                Verdict::Taken => self.release(&[*key]),
-                Verdict::Free => self.claim(*key),
+                AdoptionCheck::Undecided => {}
+                AdoptionCheck::OwnedElsewhere => self.release(&[*key]),
+                AdoptionCheck::Claimable => self.claim(*key),
             }
         }
     }
 
-    /// Takes one store's word on an orphan.
-    fn orphan_checked(&mut self, key: MessageKey, store: &StoreId, status: Status) -> Verdict {
-        let Some(message) = self.messages.get_mut(&key) else { return Verdict::Unsure };
-        let Stage::Adopting { answered, from, claim } = &mut message.stage else { return Verdict::Unsure };
+    /// Evaluates one store's status of an orphaned message.
+    fn orphan_checked(&mut self, key: MessageKey, store: &StoreId, status: Status) -> AdoptionCheck {
+        let Some(message) = self.messages.get_mut(&key) else { return AdoptionCheck::Undecided };
+        let Stage::Adopting { answered, from, claim } = &mut message.stage else {
+            return AdoptionCheck::Undecided;
+        };
         answered.insert(store.clone());
         match status {
             Status::Unknown => {}
@@ -153,42 +159,44 @@
                 message.failures = message.failures.max(failures);
                 let is_other = owner != *from && owner != self.settings.owner;
                 if is_other && !released && self.live_relays.contains(&owner) {
-                    return Verdict::Taken;
+                    return AdoptionCheck::OwnedElsewhere;
                 }
                 *claim = known.max(*claim);
             }
             Status::Ended(end) => {
                 let name = message.record.name.clone();
                 self.spread_end(key, Fact::Ended { name, end });
-                return Verdict::Unsure;
+                return AdoptionCheck::Undecided;
             }
         }
         let is_read = self.stores.placement.is_read(message.record.partition, answered);
-        if is_read { Verdict::Free } else { Verdict::Unsure }
+        if is_read { AdoptionCheck::Claimable } else { AdoptionCheck::Undecided }
     }
 
-    /// Some store knows the end: the others are told, and nothing is run.
+    /// A store knows the end of the message: the end is sent to the other stores, and the message is not run.
     pub(crate) fn spread_end(&mut self, key: MessageKey, fact: Fact) {
         let Some(message) = self.messages.get(&key) else { return };
         let stores = self.stores.placement.stores(message.record.partition);
         let name = message.record.name.clone();
-        self.post(&stores, &fact);
+        self.broadcast_fact(&stores, &fact);
         self.remove(key);
         self.unblock_successors(&name);
     }
 
-    /// Asks for ownership. It is had when a write quorum has granted it, so that no two relays have the same claim.
+    /// Requests ownership. This relay owns the message once a write quorum has granted the claim, so no two relays
+    /// can hold the same claim.
     fn claim(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         let Stage::Adopting { claim, .. } = message.stage else { return };
         let claim = claim + 1;
         message.stage = Stage::Claiming { granted: BTreeSet::new(), claim };
-        message.since = self.now;
-        self.clock.set(self.now + ADOPT_AGAIN, Timer::RetryAdoption(key));
+        message.stage_since = self.now;
+        self.clock.set(self.now + ADOPTION_RETRY_DELAY, Timer::RetryAdoption(key));
         self.send_claims(key, claim);
     }
 
-    /// Sends a claim to the stores that hold the record. Where these are too few, others are given the record first.
+    /// Sends a claim to the stores that hold the record. If these are fewer than a write quorum, the record is first
+    /// sent to further stores.
     fn send_claims(&mut self, key: MessageKey, claim: u32) {
         let Some(message) = self.messages.get(&key) else { return };
         let (name, partition) = (message.record.name.clone(), message.record.partition);
@@ -214,7 +222,8 @@
 
     pub(crate) fn claim_granted(&mut self, key: MessageKey, name: MessageName, store: StoreId) {
         let Some(message) = self.messages.get_mut(&key) else {
-            // It was given up meanwhile, or has ended; in the latter case the store finds out when it is offered.
+            // The message was released meanwhile, or has ended; in the latter case the store learns of the end when
+            // it offers the message.
             return self.send_release(&store, vec![name]);
         };
         message.written.insert(store.clone());
@@ -226,7 +235,7 @@
         }
     }
 
-    /// Another relay has an equal or higher claim: what was granted here is given up.
+    /// Another relay has an equal or higher claim: releases the message at the stores that granted the claim.
     pub(crate) fn claim_refused(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
         let Stage::Claiming { granted, .. } = &message.stage else { return };
@@ -237,8 +246,8 @@
         }
     }
 
-    /// The process stood still: other relays may have taken its messages over. What does not run is asked about
-    /// before it is started.
+    /// The process was paused, so other relays may have adopted its messages. Requests facts about all waiting
+    /// messages before any of them is started.
     pub(crate) fn verify_ownership(&mut self) {
         let keys = self.keys(|stage| *stage == Stage::Waiting);
         for key in &keys {
@@ -247,7 +256,7 @@
         self.ask_facts(&keys);
     }
 
-    /// Another relay may own a message: facts about it are asked for before it is run.
+    /// Another relay may own the message: requests facts about it before it is run.
     pub(crate) fn verify(&mut self, key: MessageKey, claim: u32) {
         self.doubt_ownership(key, claim);
         self.ask_facts(&[key]);
@@ -257,6 +266,6 @@
         let Some(message) = self.messages.get_mut(&key) else { return };
         let (answered, from) = (BTreeSet::new(), self.settings.owner.clone());
         message.stage = Stage::Adopting { answered, from, claim };
-        message.since = self.now;
+        message.stage_since = self.now;
     }
 }
--- a/crates/queue/src/calls.rs
+++ b/crates/queue/src/calls.rs
@@ -1,4 +1,4 @@
-//! Requests to stores that are out.
+//! Pending requests to stores.
 
 use std::collections::HashMap;
 
@@ -11,29 +11,29 @@
 use crate::io::{AttemptNumber, CallId, Effect, MessageKey};
 use crate::machine::Queue;
 
-/// Time after which a store that has not answered counts as failing.
+/// Time after which a request that the store has not answered counts as failed.
 const CALL_TIMEOUT: Micros = 1_000_000;
 
-/// Between two tries of a store that is out of reach.
+/// Interval between probes of an unreachable store.
 const PROBE_PERIOD: Micros = 250_000;
 
-/// What a request was for.
+/// The purpose of a request, which decides how its response is handled.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
     List(MessageKey),
     Append(MessageKey),
-    /// The same for a message of another relay: it renews no lease.
+    /// Like `Append`, for a message adopted from another relay. It renews no lease.
     AppendCopy(MessageKey),
     Settle(Vec<MessageKey>),
-    /// Predecessors of a message, in the order asked.
+    /// Requests the status of predecessors of a message, in this order.
     Check(MessageKey, Vec<MessageName>),
-    /// Orphans, in the order asked.
+    /// Requests the status of orphaned messages, in this order.
     Adopt(Vec<MessageKey>),
     Claim(MessageKey, MessageName),
     Release(Vec<MessageName>),
-    /// The message that is about to be sent.
+    /// Confirms the ownership of a message that is about to be sent.
     Confirm(MessageKey, AttemptNumber),
-    /// Whether the store answers at all.
+    /// Checks whether the store responds at all.
     Probe,
 }
 
@@ -44,7 +44,7 @@
     at: Micros,
 }
 
-/// The requests that are out.
+/// All pending requests.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
     last: u64,
@@ -66,13 +66,13 @@
         self.effects.push(Effect::Ask { store: store.clone(), call, request: Box::new(request) });
     }
 
-    /// A store answered a request.
+    /// Handles the response of a store.
     pub fn store_answered(&mut self, now: Micros, call: CallId, response: StoreResponse) -> Vec<Effect> {
         self.now = now;
         if let Some(call) = self.calls.open.remove(&call) {
             match response {
                 StoreResponse::Declined { reason, .. } => self.call_declined(call, reason),
-                // The disk that was asked is gone: another one is at its address.
+                // The store that was asked is gone: another disk now answers at its address.
                 response if *response.store() != call.store => self.call_failed(call),
                 response => self.call_answered(call, response),
             }
@@ -80,7 +80,7 @@
         self.take_effects()
     }
 
-    /// A request could not be sent, or its connection broke.
+    /// Handles a request that could not be sent, or whose connection broke.
     pub fn store_failed(&mut self, now: Micros, call: CallId) -> Vec<Effect> {
         self.now = now;
         self.fail_call(call);
@@ -95,13 +95,13 @@
 
     fn call_failed(&mut self, call: Call) {
         self.stores.failed(&call.store, self.now);
-        self.probe_later();
+        self.schedule_probe();
         match call.purpose {
             Purpose::List(key) => self.listing_failed(key),
             Purpose::Append(key) => self.append_unanswered(key, call.store),
             Purpose::Settle(keys) => self.settle_failed(&keys),
             Purpose::Release(names) => self.release_failed(call.store, names),
-            // Timers that were set with these see to what is missing.
+            // These have timers that retry them.
             Purpose::AppendCopy(_)
             | Purpose::Check(..)
             | Purpose::Adopt(_)
@@ -111,20 +111,21 @@
         }
     }
 
-    /// Sees to it that stores out of reach are tried, so that their return is noticed without messages.
-    fn probe_later(&mut self) {
-        if !self.is_probe_set && !self.stores.out_of_reach().is_empty() {
-            self.is_probe_set = true;
+    /// Schedules a probe of the unreachable stores, so that their return is noticed even when no message goes to
+    /// them.
+    fn schedule_probe(&mut self) {
+        if !self.is_probe_scheduled && !self.stores.unreachable_stores().is_empty() {
+            self.is_probe_scheduled = true;
             self.clock.set(self.now + PROBE_PERIOD, Timer::ProbeStores);
         }
     }
 
     pub(crate) fn probe_stores(&mut self) {
-        self.is_probe_set = false;
-        for store in self.stores.out_of_reach() {
+        self.is_probe_scheduled = false;
+        for store in self.stores.unreachable_stores() {
             self.ask(&store, Purpose::Probe, StoreRequest::Look { names: Vec::new() });
         }
-        self.probe_later();
+        self.schedule_probe();
     }
 
     fn call_answered(&mut self, call: Call, response: StoreResponse) {
@@ -134,13 +135,15 @@
             self.leases.renewed(&store, at, self.now);
         }
         match (purpose, response) {
-            (Purpose::List(key), StoreResponse::OpenMessages { names, .. }) => self.listed(key, store, names),
+            (Purpose::List(key), StoreResponse::OpenMessages { names, .. }) => {
+                self.listing_answered(key, store, names)
+            }
             (Purpose::Append(key) | Purpose::AppendCopy(key), StoreResponse::Done { .. }) => {
                 self.appended(key, store);
             }
             (Purpose::Append(key) | Purpose::AppendCopy(key), StoreResponse::Statuses { .. }) => {
                 if let Some(message) = self.messages.get_mut(&key) {
-                    message.has_moved_on = true;
+                    message.may_be_owned_elsewhere = true;
                 }
                 self.appended(key, store);
             }
@@ -168,7 +171,7 @@
             Purpose::Append(key) => self.append_declined(key, call.store),
             Purpose::Claim(key, _) if reason == Decline::AlreadyClaimed => self.claim_refused(key),
             Purpose::Settle(keys) => self.settle_failed(&keys),
-            // Timers that were set with these see to what is missing.
+            // These have timers that retry them.
             Purpose::AppendCopy(_)
             | Purpose::Check(..)
             | Purpose::Adopt(_)
--- a/crates/queue/src/clock.rs
+++ b/crates/queue/src/clock.rs
@@ -1,4 +1,5 @@
-//! Timers of the queue: a heap of due points, checked against the message when they fire.
+//! Timers of the queue: a heap ordered by due time. A timer is checked against the state of its message when it
+//! fires.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,34 +8,34 @@
 
 use crate::io::{AttemptNumber, CallId, MessageKey};
 
-/// What is due. A timer that no longer fits its message does nothing.
+/// What a timer triggers. A timer that no longer applies to its message has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A write or a query has waited long enough to ask a further store.
+    /// A write or a listing has waited long enough: another store is asked.
     Hedge(MessageKey),
-    /// The client's patience is over.
-    Patience(MessageKey),
-    /// The stores have had their time to tell of open messages of the key.
-    Listing(MessageKey),
-    /// The delay is over.
+    /// The client must be answered now.
+    ClientDeadline(MessageKey),
+    /// The stores had to list the open messages of the ordering key by now.
+    ListingDeadline(MessageKey),
+    /// The delay of the message has passed.
     Due(MessageKey),
-    /// A pause after a failed run is over.
+    /// The backoff after a failed run has passed.
     RetryRun(MessageKey),
-    /// Predecessors are asked for.
+    /// Stores are asked for the status of predecessors.
     CheckPredecessors(MessageKey),
-    /// Facts about an orphan are asked for again.
+    /// Facts about an orphaned message are requested again.
     RetryAdoption(MessageKey),
-    /// `retentionS` is over.
+    /// The retention of the message (`retentionS`) has passed.
     Expire(MessageKey),
-    /// A store has not answered.
+    /// A store has not responded in time.
     CallTimeout(CallId),
-    /// Stores out of reach are tried.
+    /// Unreachable stores are probed.
     ProbeStores,
-    /// Facts that wait are sent.
+    /// Queued facts are sent.
     Flush,
-    /// The stores have had their time to confirm the ownership of a message.
+    /// The stores had to confirm the ownership of a message by now.
     ConfirmTimeout(MessageKey, AttemptNumber),
-    /// Releases that stores have not taken are sent again.
+    /// Releases that failed at some stores are sent again.
     RetryReleases,
     /// Ends that too few stores have acknowledged are sent again.
     RetrySettle(MessageKey),
--- a/crates/queue/src/io.rs
+++ b/crates/queue/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes into the queue and what comes out of it.
+//! Inputs and outputs of the queue.
 
 use std::sync::Arc;
 
@@ -11,36 +11,36 @@
 
 use crate::sending::SendPermit;
 
-/// A message in this process.
+/// Identifies a message within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageKey(pub u64);
 
-/// A request to a store that is not answered yet.
+/// Identifies a pending request to a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// An attempt to send a message, unique in the life of the process.
+/// Identifies an attempt to send a message; unique for the lifetime of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u64);
 
-/// A client that waits for an answer.
+/// Identifies a client that waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientToken(pub u64);
 
-/// What a queue is told at its start.
+/// Settings of a queue, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct QueueSettings {
     pub owner: Owner,
     pub zone: Arc<str>,
-    /// Bytes of bodies that may be held; beyond that, messages are declined.
+    /// Maximum total size of the bodies held; beyond it, messages are declined.
     pub most_body_bytes: usize,
-    /// Messages that may be held.
+    /// Maximum number of messages held.
     pub most_messages: usize,
-    /// How far the time of day may be wrong: ages of messages that are taken over may go by it.
+    /// Maximum error of the wall clock, which the ages of adopted messages may depend on.
     pub clock_error: Micros,
 }
 
-/// A request that a client hands in.
+/// A message that a client submits.
 #[derive(Clone, Debug)]
 pub struct NewMessage {
     pub token: ClientToken,
@@ -55,22 +55,22 @@
     pub body: Bytes,
     pub ordering_key: Option<Arc<str>>,
     pub delay_ms: u64,
-    /// How long the client waits.
+    /// How long the client waits for an answer.
     pub patience_ms: u64,
 }
 
-/// What a client is told.
+/// The answer to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The message is kept.
+    /// The message is stored durably.
     Accepted { name: MessageName },
-    /// It was not taken and never will run; it may be sent again after this many milliseconds.
+    /// The message was not accepted and will never run. The client may send it again after this many milliseconds.
     Declined { retry_after_ms: u64 },
-    /// Whether it was taken is not known.
+    /// It is unknown whether the message was accepted.
     Unknown,
 }
 
-/// A message that is to run.
+/// What the runner needs to know to run a message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
     pub service: Arc<str>,
@@ -79,11 +79,11 @@
     pub schedule_target_ms: u64,
     pub retention_ms: u64,
     pub failures: u32,
-    /// When its first run was due, by the clock of the calls.
+    /// Time on the runner's clock at which the first run was due.
     pub due_at: Micros,
 }
 
-/// What became of a run.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunResult {
     Completed {
@@ -93,11 +93,11 @@
     Failed,
     /// The host answered 422.
     Refused,
-    /// It has not run, and the runner wants it back.
+    /// The message was not run, and the runner returns it.
     NotRun,
 }
 
-/// What the driver is to do.
+/// An action that the driver must carry out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     Ask {
@@ -116,8 +116,8 @@
     Withdraw {
         key: MessageKey,
     },
-    /// The route of a message that was submitted has changed: what is not sent yet goes by this submission. The result of
-    /// an attempt that is out still counts.
+    /// The route of a submitted message has changed: attempts that are not sent yet use this submission. The result
+    /// of an attempt already sent still counts.
     Revise {
         key: MessageKey,
         submission: Submission,
@@ -126,11 +126,11 @@
     Send {
         permit: SendPermit,
     },
-    /// The attempt is not to be made; what follows for the message comes by itself.
+    /// The attempt must not be made. The queue itself decides what happens to the message next.
     RefuseSend {
         attempt: AttemptNumber,
     },
-    /// The result of a run has no effect, as its message is over or not running here. For the log.
+    /// The result of a run has no effect, because the message has ended or is not running here. Only logged.
     ResultDropped {
         key: MessageKey,
         result: RunResult,
--- a/crates/queue/src/leases.rs
+++ b/crates/queue/src/leases.rs
@@ -1,4 +1,5 @@
-//! The lease of this relay at each store: while it lasts, the store grants no other relay this relay's messages.
+//! The leases of this relay at the stores: while a lease is valid, the store grants no other relay a claim on this
+//! relay's messages.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 /// The lease at one store.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
-    /// It has not lapsed since then.
+    /// The lease has been valid without a gap since this time.
     held_since: Micros,
     valid_until: Micros,
 }
@@ -21,10 +22,11 @@
 }
 
 impl Leases {
-    /// A store has answered a request that renews the lease.
+    /// Extends or begins the lease at a store that has answered a renewing request.
     ///
-    /// The store counts from when the request arrived, which is after it was sent and before it was answered. So the
-    /// lease ends by the first of these, and a new one begins with the second.
+    /// The store counts the lease from the arrival of the request, which lies between sending and response. This
+    /// relay therefore computes the end of the lease from the send time, and the beginning of a new lease from the
+    /// response time.
     pub fn renewed(&mut self, store: &StoreId, sent_at: Micros, now: Micros) {
         let valid_until = sent_at + OWNER_LEASE - OWNER_LEASE_MARGIN;
         match self.by_store.get_mut(store) {
@@ -35,8 +37,8 @@
         }
     }
 
-    /// Until when a read quorum of each group has held its lease without a lapse since `since`; none where no quorum
-    /// has.
+    /// The time until which a read quorum of each group grants a lease that has had no gap since `since`, or `None`
+    /// if there is no such quorum.
     pub fn valid_until(&self, groups: &[Group], since: Micros) -> Option<Micros> {
         let ends = groups.iter().map(|group| self.valid_until_in(group, since));
         ends.min().flatten()
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,14 +1,15 @@
-//! The life of messages at the relay that owns them: taken, written to the stores, due, running, ended, handed over.
+//! Lifecycle of messages at the relay that owns them: accepted, written to the stores, due, running, ended, handed
+//! over.
 //!
-//! [`Queue`] is a state machine without I/O. It asks stores through [`Effect::Ask`] and is told what they said; it has
-//! messages run through [`Effect::Submit`] and is told what became of the run. What it promises:
+//! [`Queue`] is a state machine without I/O. It sends requests to stores through [`Effect::Ask`] and receives their
+//! responses; it submits messages to a runner through [`Effect::Submit`] and receives the results. Its guarantees:
 //!
-//! - A message is accepted only when the stores of its partition have synced it on a write quorum.
-//! - A message that may have left a copy at a store is never declined with a promise that it will not run.
-//! - A message of an ordering key starts only when every message that it names as predecessor is known to have ended,
-//!   or is known never to have been accepted.
-//! - A message that is taken over is run only after a read quorum was asked for facts about it.
-//! - A message is sent to a host only with a [`SendPermit`]: while no other relay can own it.
+//! - A message is accepted only after a write quorum of its partition's stores has synced it.
+//! - A message that may have left a copy at a store is never declined with the promise that it will not run.
+//! - A message with an ordering key starts only when each of its predecessors is known to have ended, or is known
+//!   never to have been accepted.
+//! - An adopted message is run only after a read quorum was asked for facts about it.
+//! - A message is sent to a host only with a [`SendPermit`], that is, while no other relay can own it.
 
 mod accept;
 mod adopt;
--- a/crates/queue/src/machine.rs
+++ b/crates/queue/src/machine.rs
@@ -1,4 +1,4 @@
-//! The queue's state, its clock and its inputs.
+//! State, clock and inputs of the queue.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 use crate::settle::Outbox;
 use crate::stores::Stores;
 
-/// A process that has not run for this long may have lost its messages to other owners.
-const STANDSTILL: Micros = 1_500_000;
+/// If the process was paused for longer than this, other relays may have adopted its messages.
+const MAX_TICK_GAP: Micros = 1_500_000;
 
 /// The messages that a relay owns.
 pub struct Queue {
@@ -29,7 +29,7 @@
     last_key: u64,
     pub(crate) messages: HashMap<MessageKey, Message>,
     pub(crate) by_name: HashMap<MessageName, MessageKey>,
-    /// Messages that wait for a predecessor, by the predecessor's name.
+    /// Messages that wait for a predecessor, keyed by the name of the predecessor.
     pub(crate) successors: HashMap<MessageName, BTreeSet<MessageKey>>,
     pub(crate) body_bytes: usize,
     pub(crate) routes: Arc<RouteTable>,
@@ -39,10 +39,10 @@
     pub(crate) calls: Calls,
     pub(crate) clock: Clock,
     pub(crate) outbox: Outbox,
-    /// Relays that live, as far as membership tells.
+    /// Live relays, according to membership.
     pub(crate) live_relays: BTreeSet<Owner>,
-    pub(crate) is_probe_set: bool,
-    /// No message is started any more.
+    pub(crate) is_probe_scheduled: bool,
+    /// The relay is stopping: no message is started.
     pub(crate) is_stopping: bool,
     pub(crate) effects: Vec<Effect>,
 }
@@ -66,21 +66,21 @@
             clock: Clock::default(),
             outbox: Outbox::default(),
             live_relays: BTreeSet::new(),
-            is_probe_set: false,
+            is_probe_scheduled: false,
             is_stopping: false,
             effects: Vec::new(),
         }
     }
 
-    /// When [`Queue::tick`] is wanted next.
+    /// When [`Queue::tick`] must be called next.
     pub fn wake_at(&self) -> Option<Micros> {
         self.clock.next()
     }
 
-    /// Does all that is due.
+    /// Fires all timers that are due.
     pub fn tick(&mut self, now: Micros) -> Vec<Effect> {
         self.now = now;
-        if now > self.last_run + STANDSTILL && self.last_run > 0 && !self.clock_was_idle(now) {
+        if now > self.last_run + MAX_TICK_GAP && self.last_run > 0 && !self.was_clock_idle(now) {
             self.verify_ownership();
         }
         self.last_run = now;
@@ -90,16 +90,16 @@
         self.take_effects()
     }
 
-    /// Nothing was due for the whole time: the process simply had nothing to do.
-    fn clock_was_idle(&self, now: Micros) -> bool {
-        self.clock.next().is_none_or(|at| at + STANDSTILL > now)
+    /// Whether no timer was due during the whole gap: the process was idle rather than paused.
+    fn was_clock_idle(&self, now: Micros) -> bool {
+        self.clock.next().is_none_or(|at| at + MAX_TICK_GAP > now)
     }
 
     fn fire(&mut self, timer: Timer) {
         match timer {
             Timer::Hedge(key) => self.hedge(key),
-            Timer::Patience(key) => self.patience_over(key),
-            Timer::Listing(key) => self.listing_over(key),
+            Timer::ClientDeadline(key) => self.client_deadline_passed(key),
+            Timer::ListingDeadline(key) => self.listing_deadline_passed(key),
             Timer::Due(key) | Timer::RetryRun(key) => self.start_if_due(key),
             Timer::CheckPredecessors(key) => self.check_predecessors(key),
             Timer::RetryAdoption(key) => self.retry_adoption(key),
@@ -113,34 +113,34 @@
         }
     }
 
-    /// The owner's name in the system is another one than it was started with. Only for one that owns nothing yet.
+    /// Changes the owner name of this relay. Valid only while the queue owns no message.
     pub fn set_owner(&mut self, owner: Owner) {
         self.settings.owner = owner;
     }
 
-    /// A new placement is in force.
+    /// Puts a new placement in force.
     pub fn set_placement(&mut self, now: Micros, placement: Arc<Placement>) -> Vec<Effect> {
         self.now = now;
         if placement.epoch != self.stores.placement.epoch {
             self.stores.set_placement(placement);
             for key in self.keys(|stage| matches!(stage, Stage::Listing { .. } | Stage::Writing)) {
-                self.ask_again(key);
+                self.restart_quorum(key);
             }
         }
         self.take_effects()
     }
 
-    /// Membership's view of the stores changed.
+    /// Updates the live stores, according to membership.
     pub fn set_live_stores(&mut self, live: BTreeSet<StoreId>) {
         self.stores.set_live(live);
     }
 
-    /// Membership's view of the relays changed.
+    /// Updates the live relays, according to membership.
     pub fn set_live_relays(&mut self, live: BTreeSet<Owner>) {
         self.live_relays = live;
     }
 
-    /// Whether enough stores live and answer this relay for messages to be kept.
+    /// Whether enough stores are live and reachable from this relay to store messages durably.
     pub fn has_stores(&self) -> bool {
         let (reachable, all) = self.stores.reachable();
         reachable > usize::from(self.stores.placement.tolerated).min(all.saturating_sub(1))
@@ -151,7 +151,7 @@
         self.messages.get(&key).map(|message| &message.record)
     }
 
-    /// Messages held, whatever their stage.
+    /// Number of messages held, in any stage.
     pub fn len(&self) -> usize {
         self.messages.len()
     }
@@ -160,14 +160,18 @@
         self.messages.is_empty()
     }
 
-    pub(crate) fn keys(&self, fits: impl Fn(&Stage) -> bool) -> Vec<MessageKey> {
-        let mut keys: Vec<MessageKey> =
-            self.messages.iter().filter(|(_, message)| fits(&message.stage)).map(|(key, _)| *key).collect();
+    pub(crate) fn keys(&self, has_stage: impl Fn(&Stage) -> bool) -> Vec<MessageKey> {
+        let mut keys: Vec<MessageKey> = self
+            .messages
+            .iter()
+            .filter(|(_, message)| has_stage(&message.stage))
+            .map(|(key, _)| *key)
+            .collect();
         keys.sort();
         keys
     }
 
-    /// Takes a message up under a new key, unless one of its name is held.
+    /// Adds a message under a new key, or returns `None` if a message with its name is already held.
     pub(crate) fn insert(&mut self, message: Message) -> Option<MessageKey> {
         if self.by_name.contains_key(&message.record.name) {
             return None;
--- a/crates/queue/src/predecessors.rs
+++ b/crates/queue/src/predecessors.rs
@@ -1,4 +1,4 @@
-//! Messages of one ordering key wait for those that were open when they were taken.
+//! Ordering: a message waits for the messages of its ordering key that were open when it was accepted.
 
 use std::collections::BTreeSet;
 
@@ -13,12 +13,12 @@
 use crate::machine::Queue;
 use crate::message::Stage;
 
-/// Stores push the end of a predecessor; this often they are asked as well.
-const FIRST_CHECK: Micros = 100_000;
-const CHECK_AGAIN: Micros = 700_000;
+/// Stores push the end of a predecessor; they are also polled at these intervals, in case a push was lost.
+const FIRST_CHECK_DELAY: Micros = 100_000;
+const RECHECK_INTERVAL: Micros = 700_000;
 
 impl Queue {
-    /// Notes for whom the message waits. Predecessors that this relay owned and ended are gone already.
+    /// Registers the predecessors that the message waits for, without those that this relay owned and has ended.
     pub(crate) fn register_blockers(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         let ended = &self.outbox.ended;
@@ -29,10 +29,10 @@
         for blocker in &message.blockers {
             self.successors.entry(blocker.clone()).or_default().insert(key);
         }
-        self.clock.set(self.now + FIRST_CHECK, Timer::CheckPredecessors(key));
+        self.clock.set(self.now + FIRST_CHECK_DELAY, Timer::CheckPredecessors(key));
     }
 
-    /// Asks the partition's stores about predecessors that are not held here.
+    /// Asks the partition's stores for the status of the predecessors that are not held here.
     pub(crate) fn check_predecessors(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         if message.stage != Stage::Waiting || message.blockers.is_empty() {
@@ -44,7 +44,7 @@
         message.checked.clear();
         message.seen_open.clear();
         let partition = message.record.partition;
-        self.clock.set(self.now + CHECK_AGAIN, Timer::CheckPredecessors(key));
+        self.clock.set(self.now + RECHECK_INTERVAL, Timer::CheckPredecessors(key));
         if names.is_empty() {
             return;
         }
@@ -69,7 +69,7 @@
                 Status::Unknown => {}
             }
         }
-        // A read quorum knows nothing of it: it was never accepted before this one was taken.
+        // A read quorum does not know the predecessor: it was never accepted before this message was.
         if self.stores.placement.is_read(message.record.partition, &message.checked) {
             let seen_open = &message.seen_open;
             let blockers: &BTreeSet<MessageName> = &message.blockers;
@@ -89,7 +89,7 @@
         self.forget_successor(blocker, key);
     }
 
-    /// A store says that a predecessor has ended.
+    /// A store reports the end of a predecessor.
     pub fn predecessor_ended(&mut self, now: Micros, name: &MessageName) -> Vec<Effect> {
         self.now = now;
         self.unblock_successors(name);
--- a/crates/queue/src/quorum_read.rs
+++ b/crates/queue/src/quorum_read.rs
@@ -1,4 +1,4 @@
-//! State and body of a message, read from a quorum of its partition's stores for a caller at any relay.
+//! Reads the status or body of a message from a quorum of its partition's stores, for a caller at any relay.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use pewterseam_wire::record::{End, Record};
 use pewterseam_wire::store::Status;
 
-/// What is known of a message.
+/// Status of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatusResult {
     Unknown,
@@ -15,13 +15,13 @@
     Ended(End),
 }
 
-/// Gathers the stores' words on one message.
+/// Collects the stores' statuses of one message.
 #[derive(Debug)]
 pub struct StatusRead {
     placement: Arc<Placement>,
     partition: Partition,
     answered: BTreeSet<StoreId>,
-    /// Stores that know the message and no end of it.
+    /// Stores that know the message as open.
     open_at: BTreeSet<StoreId>,
     end: Option<End>,
 }
@@ -36,7 +36,7 @@
         self.placement.stores(self.partition)
     }
 
-    /// Takes one store's word; the result once it is certain.
+    /// Records the status from one store, and returns the result once a read quorum has answered.
     pub fn answered(&mut self, store: StoreId, status: Status) -> Option<StatusResult> {
         match status {
             Status::Unknown => {}
@@ -56,13 +56,13 @@
         }
     }
 
-    /// The end that is known, and the stores that are to be told of it. A reader that tells an end writes it back to a
-    /// quorum, so that no later reader finds the message open again.
+    /// The known end, and the stores that it must be sent to. A reader that reports an end writes it back to a
+    /// quorum, so that no later reader sees the message as open.
     pub fn write_back(&self) -> Option<(&End, &BTreeSet<StoreId>)> {
         self.end.as_ref().map(|end| (end, &self.open_at)).filter(|(_, stores)| !stores.is_empty())
     }
 
-    /// What the answers so far say. An end or an open record is certain from any one of them.
+    /// The result of the responses so far. A single response suffices to establish an end or an open record.
     pub fn best(&self) -> StatusResult {
         match &self.end {
             Some(end) => StatusResult::Ended(end.clone()),
@@ -72,7 +72,7 @@
     }
 }
 
-/// Gathers the stores' answers to a question for a body.
+/// Collects the stores' responses to a request for a body.
 #[derive(Debug)]
 pub struct BodyRead {
     placement: Arc<Placement>,
@@ -90,7 +90,8 @@
         self.placement.stores(self.partition)
     }
 
-    /// Takes one store's answer: the record as soon as any store has it, `Some(None)` once none can have it.
+    /// Records the response of one store. Returns the record as soon as any store has it, and `Some(None)` once a
+    /// read quorum has none.
     pub fn answered(&mut self, store: StoreId, record: Option<Record>) -> Option<Option<Record>> {
         if record.is_some() {
             return Some(record);
--- a/crates/queue/src/releases.rs
+++ b/crates/queue/src/releases.rs
@@ -1,7 +1,7 @@
-//! Messages given up: every store that may hold them is told until it has heard.
+//! Releases of messages: a release is retried until each store that may hold the message has acknowledged it.
 //!
-//! Danger: a store that grants a claim and never hears that it was given up takes the claimant for the owner for as long
-//! as the claimant lives, and nobody runs the message.
+//! Without the retry, a store that granted a claim and missed the release would take the claimant for the owner for
+//! as long as the claimant lives, and nobody would run the message.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,12 +14,12 @@
 use crate::clock::Timer;
 use crate::machine::Queue;
 
-/// When a release that a store has not taken is sent again.
-const RELEASE_AGAIN: Micros = 700_000;
-/// Names in one request.
-const MOST_NAMES: usize = 256;
+/// Delay before a failed release is sent again.
+const RELEASE_RETRY_DELAY: Micros = 700_000;
+/// Maximum number of names in one request.
+const MAX_NAMES_PER_REQUEST: usize = 256;
 
-/// Releases that were sent in vain.
+/// Releases that failed, by store.
 #[derive(Debug, Default)]
 pub(crate) struct Releases {
     failed: BTreeMap<StoreId, BTreeSet<MessageName>>,
@@ -33,20 +33,21 @@
         self.ask(store, Purpose::Release(names), request);
     }
 
-    /// A store has not answered.
+    /// Keeps a release that the store has not acknowledged for a later retry.
     pub(crate) fn release_failed(&mut self, store: StoreId, names: Vec<MessageName>) {
         self.releases.failed.entry(store).or_default().extend(names);
-        self.retry_releases_later();
+        self.schedule_release_retry();
     }
 
-    fn retry_releases_later(&mut self) {
+    fn schedule_release_retry(&mut self) {
         if !self.releases.is_retry_set && !self.releases.failed.is_empty() {
             self.releases.is_retry_set = true;
-            self.clock.set(self.now + RELEASE_AGAIN, Timer::RetryReleases);
+            self.clock.set(self.now + RELEASE_RETRY_DELAY, Timer::RetryReleases);
         }
     }
 
-    /// Tells the stores that are there; what is owned again meanwhile is not given up.
+    /// Sends failed releases again to the live stores. Messages that this relay owns again meanwhile are not
+    /// released.
     pub(crate) fn retry_releases(&mut self) {
         self.releases.is_retry_set = false;
         for (store, names) in std::mem::take(&mut self.releases.failed) {
@@ -59,10 +60,10 @@
                 self.releases.failed.insert(store, names.into_iter().collect());
                 continue;
             }
-            for part in names.chunks(MOST_NAMES) {
+            for part in names.chunks(MAX_NAMES_PER_REQUEST) {
                 self.send_release(&store, part.to_vec());
             }
         }
-        self.retry_releases_later();
+        self.schedule_release_retry();
     }
 }
--- a/crates/queue/src/routes.rs
+++ b/crates/queue/src/routes.rs
@@ -1,4 +1,4 @@
-//! The routes in force, and what a change of them does to the messages that are held.
+//! The routes in force, and the effect of a change of routes on the messages held.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,18 +12,18 @@
 use crate::machine::Queue;
 use crate::message::Stage;
 
-/// The longest retention, also that of a route that names none: longer than any process runs, and far from an overflow in
-/// microseconds.
-const LONGEST_RETENTION_MS: u64 = u64::MAX / 2_000_000;
+/// Maximum retention, also for a route that sets none. It is longer than any process runs and does not overflow when
+/// converted to microseconds.
+const MAX_RETENTION_MS: u64 = u64::MAX / 2_000_000;
 
-/// What a route asks of its messages.
+/// Settings of a route that apply to its messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutePolicy {
     pub service: Arc<str>,
     pub priority: u8,
     pub timeout_ms: u64,
     pub schedule_target_ms: u64,
-    /// 0: no limit.
+    /// 0 means no limit.
     pub max_attempts: u32,
     pub retention_ms: u64,
 }
@@ -35,14 +35,14 @@
     pub routes: HashMap<RouteKey, RoutePolicy>,
 }
 
-/// How one table of routes differs from the one before, and which messages that concerns.
+/// Differences between two route tables, and the number of messages held that they affect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteChanges {
     pub added: usize,
     pub dropped: usize,
-    /// Routes whose messages another service runs.
+    /// Routes whose messages now go to another service.
     pub moved: usize,
-    /// Routes that differ in something else.
+    /// Routes of the same service that differ in another setting.
     pub altered: usize,
     /// Messages held here whose route was dropped.
     pub messages_dropped: usize,
@@ -58,16 +58,16 @@
             timeout_ms: route.timeout_ms.ceil() as u64,
             schedule_target_ms: route.schedule_target_ms.ceil() as u64,
             max_attempts: route.max_attempts,
-            retention_ms: route.retention_ms().min(LONGEST_RETENTION_MS),
+            retention_ms: route.retention_ms().min(MAX_RETENTION_MS),
         }
     }
 
-    /// Whether a message that has failed so often has ended.
-    pub(crate) fn is_used_up(&self, failures: u32) -> bool {
+    /// Whether a message with this many failures has used all its attempts.
+    pub(crate) fn has_used_all_attempts(&self, failures: u32) -> bool {
         self.max_attempts > 0 && failures >= self.max_attempts
     }
 
-    /// What a message that has failed so often is handed to the runner with.
+    /// The submission of a message with this many failures.
     pub(crate) fn submission(&self, failures: u32, due_at: Micros) -> Submission {
         Submission {
             service: self.service.clone(),
@@ -92,13 +92,13 @@
         self.routes.get(route?)
     }
 
-    /// The route that a message falls under, as if it came now.
+    /// The route that the message would match if it were submitted now.
     fn find(&self, record: &Record) -> Option<&RouteKey> {
         let matches = |route: &&RouteKey| route.matches(&record.host, &record.target);
         self.routes.keys().filter(matches).max_by_key(|route| route.path_prefix.len())
     }
 
-    /// How the routes differ from those before.
+    /// How the routes differ from the previous ones.
     fn changes_since(&self, before: &RouteTable) -> RouteChanges {
         let mut changes = RouteChanges::default();
         for (route, policy) in &self.routes {
@@ -131,7 +131,7 @@
 }
 
 impl Queue {
-    /// What a table of routes would change; asked before [`Queue::set_routes`].
+    /// What a new route table would change. Called before [`Queue::set_routes`].
     pub fn route_changes(&self, routes: &RouteTable) -> RouteChanges {
         let mut changes = routes.changes_since(&self.routes);
         for message in self.messages.values() {
@@ -142,19 +142,19 @@
         changes
     }
 
-    /// A configuration is in force. Messages whose route it dropped have ended; those that were submitted go by what it says
-    /// of their route from now on.
+    /// Puts new routes in force. Ends the messages whose route was dropped, and revises submitted messages whose
+    /// route has changed.
     pub fn set_routes(&mut self, now: Micros, routes: Arc<RouteTable>) -> Vec<Effect> {
         self.now = now;
         let before = std::mem::replace(&mut self.routes, routes);
         for key in self.keys(|stage| matches!(stage, Stage::Waiting | Stage::Running)) {
-            self.follow_route(key, &before);
+            self.apply_route_change(key, &before);
         }
         self.take_effects()
     }
 
-    /// Finds the route of a message whose record does not tell it, in the first configuration that is not older than the one
-    /// under which it was taken.
+    /// Finds the route of a message whose record does not contain it. Uses the first configuration that is at least
+    /// as new as the one under which the message was accepted.
     pub(crate) fn find_route(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         if message.route.is_none() && self.routes.version >= message.record.config_version {
@@ -162,24 +162,24 @@
         }
     }
 
-    /// Whether the configuration in force dropped the route of a message. One that is older than the one under which the
-    /// message was taken says nothing of it.
+    /// Whether the configuration in force has dropped the route of the message. A configuration older than the one
+    /// under which the message was accepted does not count.
     pub(crate) fn is_route_dropped(&self, key: MessageKey) -> bool {
         let Some(message) = self.messages.get(&key) else { return false };
         let is_missing = self.routes.policy(message.route.as_ref()).is_none();
         is_missing && self.routes.version >= message.record.config_version
     }
 
-    fn follow_route(&mut self, key: MessageKey, before: &RouteTable) {
+    fn apply_route_change(&mut self, key: MessageKey, before: &RouteTable) {
         self.find_route(key);
         if self.is_route_dropped(key) {
-            return self.route_dropped(key);
+            return self.end_for_dropped_route(key);
         }
         let Some(message) = self.messages.get_mut(&key) else { return };
         let route = message.route.clone();
         let Some(policy) = self.routes.policy(route.as_ref()) else { return };
         if message.stage == Stage::Waiting {
-            // Without its route it was not started, and has no timer.
+            // The message could not start without its route, so it has no timer.
             return self.start_if_due(key);
         }
         if before.policy(route.as_ref()) == Some(policy) {
@@ -193,7 +193,7 @@
         }
     }
 
-    fn route_dropped(&mut self, key: MessageKey) {
+    fn end_for_dropped_route(&mut self, key: MessageKey) {
         let is_running = self.messages.get(&key).is_some_and(|message| message.stage == Stage::Running);
         if is_running {
             self.effects.push(Effect::Withdraw { key });
--- a/crates/queue/src/sending.rs
+++ b/crates/queue/src/sending.rs
@@ -1,10 +1,10 @@
 //! The permit to send a message to a host.
 //!
-//! A message is sent only while no other relay can own it: a read quorum of its stores has granted this relay a lease
-//! that has not lapsed since the ownership was known, and a store grants no claim while the owner has a lease. A claim
-//! needs a write quorum, and any read quorum meets it. Where the leases have lapsed, or the message was taken over from
-//! another relay that may still have a run of it out, a read quorum is asked before the message is sent; the question
-//! renews the leases.
+//! A message is sent only while no other relay can own it: a read quorum of its stores has granted this relay a
+//! lease that has been valid without a gap since the ownership was established, and a store grants no claim while
+//! the owner has a lease. A claim needs a write quorum, which intersects every read quorum. If the leases have
+//! expired, or the message was adopted from another relay that may still have a run in progress, a read quorum must
+//! confirm the ownership before the message is sent; that request renews the leases.
 
 use std::collections::BTreeSet;
 
@@ -19,14 +19,14 @@
 use crate::machine::Queue;
 use crate::message::{Confirmation, Message, Stage};
 
-/// A lease that ends sooner than this is renewed before a message is sent.
-const SHORTEST_LEASE: Micros = 300_000;
-/// So long the stores have to confirm the ownership of a message.
+/// Minimum remaining lease. A lease that ends sooner is renewed before a message is sent.
+const MIN_REMAINING_LEASE: Micros = 300_000;
+/// Time within which the stores must confirm the ownership of a message.
 const CONFIRM_TIMEOUT: Micros = 500_000;
 
-/// The right to write one attempt of one message to a host, once, before it expires.
+/// The permission to write one attempt of one message to a host, once, before the permit expires.
 ///
-/// Only [`Queue`] makes one, and it cannot be copied: whoever sends the message gives it away.
+/// Only [`Queue`] creates a permit, and it cannot be copied: whoever sends the message consumes it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SendPermit {
     key: MessageKey,
@@ -43,23 +43,24 @@
         self.attempt
     }
 
-    /// Nothing may be written from then on.
+    /// The attempt must not be written at or after this time.
     pub fn expires_at(&self) -> Micros {
         self.expires_at
     }
 }
 
-/// What a store's word on a message that is to be sent means.
-enum Word {
+/// What a store's response means for a message that is about to be sent.
+enum ConfirmationCheck {
     /// More answers are needed.
-    Unsure,
+    Undecided,
     Confirmed,
-    /// It has ended, or another relay may own it.
+    /// The message has ended, or another relay may own it.
     Lost(Status),
 }
 
 impl Queue {
-    /// An attempt of a message is to be sent. Answered by [`Effect::Send`] or [`Effect::RefuseSend`], maybe later.
+    /// Requests a permit to send an attempt of a message. The answer is [`Effect::Send`] or [`Effect::RefuseSend`],
+    /// possibly after the stores have confirmed the ownership.
     pub fn request_send(&mut self, now: Micros, key: MessageKey, attempt: AttemptNumber) -> Vec<Effect> {
         self.now = now;
         match self.messages.get(&key) {
@@ -72,14 +73,15 @@
     fn permit_or_confirm(&mut self, key: MessageKey, attempt: AttemptNumber) {
         let Some(message) = self.messages.get(&key) else { return };
         match self.lease_end(message) {
-            Some(expires_at) if !message.is_adopted && expires_at >= self.now + SHORTEST_LEASE => {
+            Some(expires_at) if !message.is_adopted && expires_at >= self.now + MIN_REMAINING_LEASE => {
                 self.effects.push(Effect::Send { permit: SendPermit { key, attempt, expires_at } });
             }
             _ => self.ask_to_confirm(key, attempt),
         }
     }
 
-    /// Until when no other relay can become the owner; none where one may be already.
+    /// The time until which no other relay can become the owner, or `None` if another relay may be the owner
+    /// already.
     fn lease_end(&self, message: &Message) -> Option<Micros> {
         let groups = self.stores.placement.groups(message.record.partition);
         self.leases.valid_until(&groups, message.owned_since)
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Not all stores have answered in time. A read quorum is enough then; without one, the attempt is not made.
+    /// Not all stores have answered in time. A read quorum suffices now; without one, the attempt is refused.
     pub(crate) fn confirm_timed_out(&mut self, key: MessageKey, attempt: AttemptNumber) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         let Some(confirmation) = message.confirmation.take_if(|waiting| waiting.attempt == attempt) else {
@@ -115,23 +117,26 @@
         &mut self, key: MessageKey, attempt: AttemptNumber, store: StoreId, status: Option<Status>,
     ) {
         let Some(status) = status else { return };
-        match self.take_word(key, attempt, store, status) {
-            Word::Unsure => {}
-            Word::Confirmed => self.send_confirmed(key, attempt),
-            Word::Lost(status) => self.lost_before_send(key, attempt, status),
+        match self.check_confirmation(key, attempt, store, status) {
+            ConfirmationCheck::Undecided => {}
+            ConfirmationCheck::Confirmed => self.send_confirmed(key, attempt),
+            ConfirmationCheck::Lost(status) => self.lost_before_send(key, attempt, status),
         }
     }
 
-    fn take_word(&mut self, key: MessageKey, attempt: AttemptNumber, store: StoreId, status: Status) -> Word {
-        let Some(message) = self.messages.get_mut(&key) else { return Word::Unsure };
+    fn check_confirmation(
+        &mut self, key: MessageKey, attempt: AttemptNumber, store: StoreId, status: Status,
+    ) -> ConfirmationCheck {
+        let Some(message) = self.messages.get_mut(&key) else { return ConfirmationCheck::Undecided };
         let confirmation =
             message.confirmation.as_mut().filter(|confirmation| confirmation.attempt == attempt);
-        let Some(confirmation) = confirmation else { return Word::Unsure };
+        let Some(confirmation) = confirmation else { return ConfirmationCheck::Undecided };
         match &status {
-            Status::Ended(_) => return Word::Lost(status),
-            // Danger: none from a lower claim, or an equal one: no other relay can have a write quorum for it.
+            Status::Ended(_) => return ConfirmationCheck::Lost(status),
+            // A lower or equal claim of another relay is no loss of ownership: no other relay can have a write
+            // quorum for it.
             Status::Open { owner, claim, .. } if *owner != self.settings.owner && *claim > message.claim => {
-                return Word::Lost(status);
+                return ConfirmationCheck::Lost(status);
             }
             Status::Open { failures, .. } => message.failures = message.failures.max(*failures),
             Status::Unknown => {}
@@ -139,12 +144,13 @@
         confirmation.answered.insert(store);
         let partition = message.record.partition;
         let is_read = self.stores.placement.is_read(partition, &confirmation.answered);
-        // Danger: the former owner may have died when one store alone knew the end.
+        // All live stores must answer for an adopted message: the former owner may have died when only one store
+        // knew the end.
         let is_complete = !message.is_adopted || {
             let stores = self.stores.placement.stores(partition);
             stores.iter().all(|store| confirmation.answered.contains(store) || !self.stores.is_live(store))
         };
-        if is_read && is_complete { Word::Confirmed } else { Word::Unsure }
+        if is_read && is_complete { ConfirmationCheck::Confirmed } else { ConfirmationCheck::Undecided }
     }
 
     fn send_confirmed(&mut self, key: MessageKey, attempt: AttemptNumber) {
@@ -152,14 +158,14 @@
         message.confirmation = None;
         message.owned_since = self.now;
         let lease_end = self.messages.get(&key).and_then(|message| self.lease_end(message));
-        self.effects.push(match lease_end.filter(|end| *end >= self.now + SHORTEST_LEASE) {
+        self.effects.push(match lease_end.filter(|end| *end >= self.now + MIN_REMAINING_LEASE) {
             Some(expires_at) => Effect::Send { permit: SendPermit { key, attempt, expires_at } },
             None => Effect::RefuseSend { attempt },
         });
     }
 
-    /// The message has ended elsewhere, or another relay may own it: it is not sent, and in the latter case facts are
-    /// asked for anew.
+    /// The message has ended elsewhere, or another relay may own it: it is not sent, and in the latter case facts
+    /// are requested again.
     fn lost_before_send(&mut self, key: MessageKey, attempt: AttemptNumber, status: Status) {
         self.effects.push(Effect::RefuseSend { attempt });
         self.effects.push(Effect::Withdraw { key });
--- a/crates/queue/src/settle.rs
+++ b/crates/queue/src/settle.rs
@@ -1,4 +1,4 @@
-//! Ends and attempts are told to the stores in batches.
+//! Sends ends and attempts of messages to the stores in batches.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,25 +13,27 @@
 use crate::machine::Queue;
 use crate::message::Stage;
 
-/// Facts are sent at once, and then no sooner than this after the last ones, so that many travel together.
-const BATCH: Micros = 10_000;
-/// Facts in one request.
-const MOST_FACTS: usize = 256;
-/// When an end that too few stores have acknowledged is told to all the others of the group.
-const SETTLE_WIDER: Micros = 100_000;
-/// When it is told again.
-const SETTLE_AGAIN: Micros = 1_200_000;
-/// Names of ended messages that are remembered, so that successors taken since need not ask.
-const MOST_REMEMBERED: usize = 2_048;
-
-/// Names of ended messages, the latest ones.
+/// Minimum interval between two flushes. The first fact is sent at once; later ones are collected, so that many
+/// share a request.
+const MIN_FLUSH_INTERVAL: Micros = 10_000;
+/// Maximum number of facts in one request.
+const MAX_FACTS_PER_REQUEST: usize = 256;
+/// Delay after which an end that too few stores have acknowledged is sent to the rest of the group.
+const SEND_END_TO_OTHERS_AFTER: Micros = 100_000;
+/// Delay after which such an end is sent again.
+const RESEND_END_AFTER: Micros = 1_200_000;
+/// Maximum number of remembered names of ended messages. Successors accepted later need not ask the stores about
+/// these.
+const MAX_REMEMBERED_ENDS: usize = 2_048;
+
+/// Names of the messages that ended most recently.
 #[derive(Debug, Default)]
-pub(crate) struct Ended {
+pub(crate) struct RecentlyEnded {
     names: BTreeSet<MessageName>,
     order: VecDeque<MessageName>,
 }
 
-impl Ended {
+impl RecentlyEnded {
     pub fn contains(&self, name: &MessageName) -> bool {
         self.names.contains(name)
     }
@@ -40,7 +42,7 @@
         if self.names.insert(name.clone()) {
             self.order.push_back(name);
         }
-        if self.order.len() > MOST_REMEMBERED
+        if self.order.len() > MAX_REMEMBERED_ENDS
             && let Some(oldest) = self.order.pop_front()
         {
             self.names.remove(&oldest);
@@ -48,14 +50,14 @@
     }
 }
 
-/// Facts on their way.
+/// Facts that wait to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     waiting: BTreeMap<StoreId, Vec<(Option<MessageKey>, Fact)>>,
     is_flush_set: bool,
-    /// No flush before then.
+    /// Earliest time of the next flush.
     next_flush_at: Micros,
-    pub ended: Ended,
+    pub ended: RecentlyEnded,
 }
 
 impl Outbox {
@@ -65,14 +67,14 @@
 }
 
 impl Queue {
-    /// The message has ended: successors go on, the stores are told.
+    /// Ends the message: unblocks its successors and sends the end to the stores.
     pub(crate) fn end(&mut self, key: MessageKey, end: End) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         message.stage = Stage::Ending(end);
-        message.since = self.now;
+        message.stage_since = self.now;
         let blockers = std::mem::take(&mut message.blockers);
         let name = message.record.name.clone();
-        // Danger: an attempt that waits for the stores' word would be sent once they have given it.
+        // Without the refusal, an attempt that waits for confirmation would still be sent once the stores confirm.
         if let Some(unsent) = message.confirmation.take() {
             self.effects.push(Effect::RefuseSend { attempt: unsent.attempt });
         }
@@ -84,81 +86,84 @@
         self.unblock_successors(&name);
     }
 
-    /// Tells the end to every store that may hold the record, or to the whole group where these are too few.
+    /// Sends the end to every live store that may hold the record, or to the whole group if these are fewer than a
+    /// write quorum.
     pub(crate) fn send_end(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
         let mut holders: BTreeSet<StoreId> = message.written.union(&message.asked).cloned().collect();
         holders.retain(|store| self.stores.is_live(store));
         if self.stores.placement.is_written(message.record.partition, &holders) {
-            self.tell_end(key, holders);
-            self.retry_end_later(key, SETTLE_WIDER);
+            self.send_end_to(key, holders);
+            self.schedule_end_retry(key, SEND_END_TO_OTHERS_AFTER);
         } else {
-            self.tell_end_widely(key);
+            self.send_end_to_others(key);
         }
     }
 
-    fn tell_end(&mut self, key: MessageKey, stores: BTreeSet<StoreId>) {
+    fn send_end_to(&mut self, key: MessageKey, stores: BTreeSet<StoreId>) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         let Stage::Ending(end) = &message.stage else { return };
         let fact = Fact::Ended { name: message.record.name.clone(), end: end.clone() };
-        message.told_end.extend(stores.iter().cloned());
+        message.end_sent_to.extend(stores.iter().cloned());
         for store in stores {
-            self.post_to(&store, Some(key), fact.clone());
+            self.queue_fact(&store, Some(key), fact.clone());
         }
     }
 
-    /// Tells the end to those of the group that were not told yet.
-    fn tell_end_widely(&mut self, key: MessageKey) {
+    /// Sends the end to the live stores of the group that it was not sent to yet.
+    fn send_end_to_others(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get(&key) else { return };
         let mut others = self.stores.placement.stores(message.record.partition);
-        others.retain(|store| self.stores.is_live(store) && !message.told_end.contains(store));
-        self.tell_end(key, others);
-        self.retry_end_later(key, SETTLE_AGAIN);
+        others.retain(|store| self.stores.is_live(store) && !message.end_sent_to.contains(store));
+        self.send_end_to(key, others);
+        self.schedule_end_retry(key, RESEND_END_AFTER);
     }
 
-    /// Sets the one timer for telling an end again, unless it is set.
+    /// Sets the only retry timer for the end, unless it is set.
     ///
-    /// Danger: with a timer for each store that failed, each round of a cut brings three times as many as the last.
-    fn retry_end_later(&mut self, key: MessageKey, pause: Micros) {
+    /// With a timer for each store that failed, each retry round during a network partition would send three times
+    /// as many requests as the previous one.
+    fn schedule_end_retry(&mut self, key: MessageKey, delay: Micros) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         if message.retry_end_at > self.now {
             return;
         }
-        message.retry_end_at = self.now + pause;
+        message.retry_end_at = self.now + delay;
         self.clock.set(message.retry_end_at, Timer::RetrySettle(key));
     }
 
-    /// Too few stores have acknowledged an end in time: the rest of the group is told, and later all once more.
+    /// Too few stores have acknowledged the end in time: sends it to the rest of the group, and later once more to
+    /// all that have not acknowledged it.
     pub(crate) fn retry_end(&mut self, key: MessageKey) {
         let Some(message) = self.messages.get_mut(&key) else { return };
         if !matches!(message.stage, Stage::Ending(_)) || self.now < message.retry_end_at {
             return;
         }
-        if self.now >= message.since + SETTLE_AGAIN {
-            message.told_end.clone_from(&message.settled);
+        if self.now >= message.stage_since + RESEND_END_AFTER {
+            message.end_sent_to.clone_from(&message.settled);
         }
-        self.tell_end_widely(key);
+        self.send_end_to_others(key);
     }
 
-    /// A store did not take ends that it was told.
+    /// A store did not acknowledge ends: sends these to the rest of the group.
     ///
-    /// Danger: where one store alone knows an end and its sender dies, a reader of a quorum can miss it.
+    /// Without this, only one store might know an end when its sender dies, and a quorum read could miss it.
     pub(crate) fn settle_failed(&mut self, keys: &[MessageKey]) {
         for key in keys {
-            self.tell_end_widely(*key);
+            self.send_end_to_others(*key);
         }
     }
 
-    /// Tells a fact that needs no acknowledgement.
-    pub(crate) fn post(&mut self, stores: &BTreeSet<StoreId>, fact: &Fact) {
+    /// Sends a fact that needs no acknowledgement.
+    pub(crate) fn broadcast_fact(&mut self, stores: &BTreeSet<StoreId>, fact: &Fact) {
         for store in stores {
-            self.post_to(store, None, fact.clone());
+            self.queue_fact(store, None, fact.clone());
         }
     }
 
-    /// Danger: what is known here alone is lost with the process. The message of an end that nobody was told of runs again, so
-    /// that a fact must not wait for others where none have gone lately.
-    pub(crate) fn post_to(&mut self, store: &StoreId, key: Option<MessageKey>, fact: Fact) {
+    /// Queues a fact for a store. If no facts were sent lately, it goes out at once instead of waiting for a batch:
+    /// a fact known only here is lost if the process dies, and a message whose end no store knows runs again.
+    pub(crate) fn queue_fact(&mut self, store: &StoreId, key: Option<MessageKey>, fact: Fact) {
         self.outbox.waiting.entry(store.clone()).or_default().push((key, fact));
         if !self.outbox.is_flush_set {
             self.outbox.is_flush_set = true;
@@ -169,11 +174,11 @@
     pub(crate) fn flush(&mut self) {
         self.outbox.is_flush_set = false;
         if !self.outbox.waiting.is_empty() {
-            self.outbox.next_flush_at = self.now + BATCH;
+            self.outbox.next_flush_at = self.now + MIN_FLUSH_INTERVAL;
         }
         for (store, mut waiting) in std::mem::take(&mut self.outbox.waiting) {
             while !waiting.is_empty() {
-                let rest = waiting.split_off(waiting.len().min(MOST_FACTS));
+                let rest = waiting.split_off(waiting.len().min(MAX_FACTS_PER_REQUEST));
                 let (keys, facts): (Vec<_>, Vec<_>) = waiting.into_iter().unzip();
                 let keys = keys.into_iter().flatten().collect();
                 self.ask(&store, Purpose::Settle(keys), StoreRequest::Settle { facts });
--- a/crates/queue/src/stop.rs
+++ b/crates/queue/src/stop.rs
@@ -1,4 +1,5 @@
-//! A relay that stops finishes what runs and hands the rest to others through the stores.
+//! Shutdown: a stopping relay finishes the running messages and hands over the rest to other relays through the
+//! stores.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 use crate::message::Stage;
 
 impl Queue {
-    /// Nothing is started from now on; what waits is given up to other relays.
+    /// Starts no message from now on, and releases the waiting messages to other relays.
     pub fn stop(&mut self, now: Micros) -> Vec<Effect> {
         self.now = now;
         self.is_stopping = true;
@@ -21,9 +22,10 @@
         self.take_effects()
     }
 
-    /// Gives messages up: every store that may hold them is told, and offers them to other relays.
+    /// Releases messages: every store that may hold them is notified and offers them to other relays.
     pub(crate) fn release(&mut self, keys: &[MessageKey]) {
-        // Danger: an heir that begins before it knows of a failed attempt counts one too few.
+        // The facts go first: a new owner that starts before it knows of a failed attempt would count one attempt
+        // too few.
         self.flush();
         let mut by_store: BTreeMap<StoreId, Vec<MessageName>> = BTreeMap::new();
         for key in keys {
@@ -38,17 +40,17 @@
         }
     }
 
-    /// Everything is ended or handed over, and the stores know it.
+    /// Whether every message has ended or was handed over, and the stores have acknowledged it.
     pub fn is_drained(&self) -> bool {
         self.messages.is_empty() && self.calls.is_empty() && self.outbox.is_empty()
     }
 
-    /// Messages with a run under way, oldest first.
+    /// Running messages, oldest first.
     pub fn running_keys(&self) -> Vec<MessageKey> {
         self.keys(|stage| *stage == Stage::Running)
     }
 
-    /// Messages with a run under way.
+    /// Number of running messages.
     pub fn running(&self) -> usize {
         self.messages.values().filter(|message| message.stage == Stage::Running).count()
     }
--- a/crates/queue/src/stores.rs
+++ b/crates/queue/src/stores.rs
@@ -1,4 +1,4 @@
-//! Which stores are asked first.
+//! Ranks the stores by health and distance, and decides which are asked first.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,35 +6,35 @@
 use pewterseam_wire::Micros;
 use pewterseam_wire::placement::{Group, Partition, Placement, StoreId};
 
-/// The least and the most time after which a further store is asked.
-const LEAST_HEDGE: Micros = 25_000;
-const MOST_HEDGE: Micros = 120_000;
-/// Multiple of the usual answer time after which a further store is asked.
+/// Bounds of the delay after which another store is asked.
+const MIN_HEDGE_DELAY: Micros = 25_000;
+const MAX_HEDGE_DELAY: Micros = 120_000;
+/// The hedge delay is this multiple of the average response time.
 const HEDGE_FACTOR: f64 = 4.0;
-/// Weight of a new sample in the usual answer time.
-const SAMPLE: f64 = 0.1;
-/// A store that left so many requests in a row unanswered is out of this relay's reach, whatever others see of it.
-const MOST_SILENCES: u32 = 2;
-/// A store that failed to answer is asked last for this long.
-const AVOID: Micros = 1_500_000;
-
-/// What is known of one store.
+/// Weight of a new sample in the moving average of the response time.
+const RESPONSE_TIME_SAMPLE_WEIGHT: f64 = 0.1;
+/// A store that left this many requests in a row unanswered is unreachable for this relay, whatever membership says.
+const MAX_UNANSWERED: u32 = 2;
+/// A store that failed or declined is asked last for this long.
+const AVOID_AFTER_FAILURE: Micros = 1_500_000;
+
+/// Observed health of one store.
 #[derive(Clone, Debug, Default)]
-struct Known {
-    answer_time: f64,
+struct StoreHealth {
+    average_response_time: f64,
     avoid_until: Micros,
-    /// Requests that went unanswered since the last answer.
-    silences: u32,
+    /// Consecutive requests without a response.
+    unanswered_in_a_row: u32,
 }
 
-/// The stores in force, and how they answer.
+/// The stores of the placement in force, and their observed health.
 #[derive(Clone, Debug)]
 pub(crate) struct Stores {
     zone: Arc<str>,
     pub placement: Arc<Placement>,
     zones: BTreeMap<StoreId, Arc<str>>,
     live: BTreeSet<StoreId>,
-    known: BTreeMap<StoreId, Known>,
+    health: BTreeMap<StoreId, StoreHealth>,
 }
 
 impl Stores {
@@ -44,14 +44,14 @@
             placement: Arc::default(),
             zones: BTreeMap::new(),
             live: BTreeSet::new(),
-            known: BTreeMap::new(),
+            health: BTreeMap::new(),
         }
     }
 
     pub fn set_placement(&mut self, placement: Arc<Placement>) {
         self.zones =
             placement.sets.iter().flatten().map(|entry| (entry.id.clone(), entry.zone.clone())).collect();
-        self.known.retain(|id, _| self.zones.contains_key(id));
+        self.health.retain(|id, _| self.zones.contains_key(id));
         self.placement = placement;
     }
 
@@ -69,46 +69,48 @@
     }
 
     pub fn answered(&mut self, store: &StoreId, took: Micros) {
-        let known = self.known.entry(store.clone()).or_default();
-        known.avoid_until = 0;
-        known.silences = 0;
-        known.answer_time += SAMPLE * (took as f64 - known.answer_time);
+        let health = self.health.entry(store.clone()).or_default();
+        health.avoid_until = 0;
+        health.unanswered_in_a_row = 0;
+        health.average_response_time +=
+            RESPONSE_TIME_SAMPLE_WEIGHT * (took as f64 - health.average_response_time);
     }
 
-    /// The store did not answer.
+    /// Records that the store did not respond.
     pub fn failed(&mut self, store: &StoreId, now: Micros) {
-        let known = self.known.entry(store.clone()).or_default();
-        known.avoid_until = now + AVOID;
-        known.silences += 1;
+        let health = self.health.entry(store.clone()).or_default();
+        health.avoid_until = now + AVOID_AFTER_FAILURE;
+        health.unanswered_in_a_row += 1;
     }
 
-    /// The store answered that it does nothing.
+    /// Records that the store declined a request.
     pub fn declined(&mut self, store: &StoreId, now: Micros) {
-        let known = self.known.entry(store.clone()).or_default();
-        known.avoid_until = now + AVOID;
-        known.silences = 0;
+        let health = self.health.entry(store.clone()).or_default();
+        health.avoid_until = now + AVOID_AFTER_FAILURE;
+        health.unanswered_in_a_row = 0;
     }
 
-    /// Stores that live by membership's word and do not answer this relay.
-    pub fn out_of_reach(&self) -> Vec<StoreId> {
-        let silent = |known: &Known| known.silences >= MOST_SILENCES;
-        self.live.iter().filter(|store| self.known.get(store).is_some_and(silent)).cloned().collect()
+    /// Stores that are live according to membership but do not respond to this relay.
+    pub fn unreachable_stores(&self) -> Vec<StoreId> {
+        let is_silent = |health: &StoreHealth| health.unanswered_in_a_row >= MAX_UNANSWERED;
+        self.live.iter().filter(|store| self.health.get(store).is_some_and(is_silent)).cloned().collect()
     }
 
-    /// Stores of the newest set that live and answer, and all of that set.
+    /// The number of reachable stores of the newest set, and the size of that set.
     pub fn reachable(&self) -> (usize, usize) {
         let Some(set) = self.placement.sets.last() else { return (0, 0) };
-        let out = self.out_of_reach();
-        let is_reachable = |id: &StoreId| self.is_live(id) && !out.contains(id);
+        let unreachable = self.unreachable_stores();
+        let is_reachable = |id: &StoreId| self.is_live(id) && !unreachable.contains(id);
         (set.iter().filter(|entry| is_reachable(&entry.id)).count(), set.len())
     }
 
-    /// Whether the store failed or declined a moment ago.
+    /// Whether the store failed or declined recently.
     pub fn is_avoided(&self, store: &StoreId, now: Micros) -> bool {
-        self.known.get(store).is_some_and(|known| known.avoid_until > now)
+        self.health.get(store).is_some_and(|health| health.avoid_until > now)
     }
 
-    /// The partition's stores, those to ask first in front: live, answering, of the own zone, by rank.
+    /// The stores of the partition in the order in which to ask them: live ones first, then those without recent
+    /// failures, then those in the zone of this relay, then by rank.
     pub fn ranked(&self, partition: Partition, now: Micros) -> Vec<StoreId> {
         let mut ranked: Vec<StoreId> = Vec::new();
         for group in self.placement.groups(partition).into_iter().rev() {
@@ -124,7 +126,7 @@
         ranked
     }
 
-    /// The first stores by rank that together make the quorum of every group.
+    /// The first stores in that order that together form the quorum of every group.
     pub fn first_choice(
         &self, partition: Partition, now: Micros, quorum: fn(&Group) -> usize,
     ) -> Vec<StoreId> {
@@ -146,25 +148,28 @@
         chosen
     }
 
-    /// The partitions to try in turn for a message without an ordering key.
+    /// The partitions to try, in order, for a message without an ordering key.
     pub fn candidates<'a>(&'a self, id: &'a str) -> impl Iterator<Item = Partition> + 'a {
         self.placement.candidates(id, &self.zone)
     }
 
-    /// Whether enough stores are alive for a write to this partition.
+    /// Whether enough stores are reachable for a write to this partition.
     pub fn can_write(&self, partition: Partition) -> bool {
-        let out = self.out_of_reach();
-        if out.is_empty() {
+        let unreachable = self.unreachable_stores();
+        if unreachable.is_empty() {
             return self.placement.is_written(partition, &self.live);
         }
-        let reachable = self.live.iter().filter(|store| !out.contains(store)).cloned().collect();
+        let reachable = self.live.iter().filter(|store| !unreachable.contains(store)).cloned().collect();
         self.placement.is_written(partition, &reachable)
     }
 
-    /// How long an answer may take before a further store is asked.
+    /// How long to wait for a response before another store is asked.
     pub fn hedge_after(&self, asked: &BTreeSet<StoreId>) -> Micros {
-        let usual = asked.iter().filter_map(|store| self.known.get(store)).map(|known| known.answer_time);
-        let slowest = usual.fold(0.0, f64::max);
-        ((slowest * HEDGE_FACTOR) as Micros).clamp(LEAST_HEDGE, MOST_HEDGE)
+        let averages = asked
+            .iter()
+            .filter_map(|store| self.health.get(store))
+            .map(|health| health.average_response_time);
+        let slowest = averages.fold(0.0, f64::max);
+        ((slowest * HEDGE_FACTOR) as Micros).clamp(MIN_HEDGE_DELAY, MAX_HEDGE_DELAY)
     }
 }
