--- a/crates/membership/examples/size.rs
+++ b/crates/membership/examples/size.rs
@@ -1,5 +1,5 @@
-//! Measures one member among many: `cargo run --release --example size -- 3800`. It holds a table of this size and
-//! answers pings and comparisons; shown are the time of each and the size of the table.
+//! Benchmarks one member of a large system: `cargo run --release --example size -- 3800`. The member holds a table
+//! of the given size; the example prints the time that a join and a wake-up take.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -135,7 +135,7 @@
     fn contact_lost_members(&mut self, effects: &mut Vec<Effect>) {
         let is_live =
             |address: &SocketAddr| self.table.live().any(|member| member.info.peer_address == *address);
-        let mut lost: Vec<SocketAddr> =
+        let mut targets: Vec<SocketAddr> =
             self.seeds.iter().filter(|address| !is_live(address)).copied().collect();
         let dead: Vec<SocketAddr> = self
             .table
@@ -144,13 +144,13 @@
             .map(|member| member.info.peer_address)
             .collect();
         if !dead.is_empty() {
-            lost.push(dead[self.random.below(dead.len())]);
+            targets.push(dead[self.random.below(dead.len())]);
         }
         self.random.shuffle(&mut self.remembered);
-        let known = self.remembered.iter().filter(|address| !lost.contains(address));
+        let known = self.remembered.iter().filter(|address| !targets.contains(address));
         let known: Vec<SocketAddr> = known.take(MAX_REMEMBERED_CONTACTS).copied().collect();
-        lost.extend(known);
-        for address in lost {
+        targets.extend(known);
+        for address in targets {
             self.send_compare(address, true, effects);
         }
     }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership in simulated time.
+//! Membership on a simulated clock and network.
 
 mod simulation;
 
@@ -7,30 +7,31 @@
 use quickcheck::quickcheck;
 use simulation::{MS, Members, address, name};
 
-/// The latest that all may learn of a death, and the usual.
-const LATEST_DEATH: u64 = 3_500 * MS;
-const USUAL_DEATH: u64 = 2_500 * MS;
+/// Time within which all members must learn of a death, and the time within which 90 % of them must.
+const MAX_DETECTION_TIME: u64 = 3_500 * MS;
+const DETECTION_TIME_P90: u64 = 2_500 * MS;
 
-/// Guards against members that do not find each other, also where a twentieth of the datagrams is lost: of 300 starts,
-/// 297 are complete 2 s after the last process began, and all of them 2 s later.
+/// Guards against members that do not find each other, also with a datagram loss of a twentieth: of 300 starts, 297
+/// must be complete 2 s after the last process started, and all of them 2 s later.
 #[test]
-fn all_find_each_other() {
-    let mut soon = 0;
+fn all_members_find_each_other() {
+    let mut complete_early = 0;
     for seed in 0..300 {
         let mut members = Members::new(seed, 30);
         members.loss_percent = 5;
         members.run(2_000 * MS);
-        soon += usize::from(members.is_complete());
+        complete_early += usize::from(members.is_complete());
         members.run(2_000 * MS);
         assert!(members.is_complete(), "seed {seed}");
     }
-    println!("{soon} of 300 starts complete after 2 s");
-    assert!(soon >= 297);
+    println!("{complete_early} of 300 starts complete after 2 s");
+    assert!(complete_early >= 297);
 }
 
-/// Guards against false deaths on a calm day: a twentieth of the datagrams is lost, and processes stand still for 300 ms.
+/// Guards against false deaths without real failures: a twentieth of the datagrams is lost, and processes are paused
+/// for 300 ms.
 #[test]
-fn losses_and_stalls_kill_nobody() {
+fn loss_and_stalls_cause_no_false_deaths() {
     let mut false_deaths = 0;
     for seed in 0..10 {
         let mut members = Members::new(seed, 24);
@@ -46,9 +47,10 @@
     assert_eq!(false_deaths, 0);
 }
 
-/// Guards against a dead machine that keeps its work: most members know within 2.5 s, all within 3.5 s.
+/// Guards against late detection of a dead machine, which keeps its work until then: 90 % of the members know within
+/// 2.5 s, all within 3.5 s.
 #[test]
-fn a_death_is_known_soon() {
+fn a_death_is_detected_in_time() {
     let mut delays = Vec::new();
     for seed in 0..60 {
         let mut members = Members::new(seed, 20);
@@ -56,22 +58,22 @@
         assert!(members.is_complete(), "seed {seed}");
         let at = members.now;
         members.kill(7);
-        members.run(LATEST_DEATH);
+        members.run(MAX_DETECTION_TIME);
         let dead = name(7);
         let downs: Vec<u64> =
             members.downs().filter(|(_, _, name)| **name == dead).map(|(down, _, _)| down - at).collect();
-        assert_eq!(downs.len(), 19, "seed {seed}: not all know");
+        assert_eq!(downs.len(), 19, "seed {seed}: not all members know");
         delays.extend(downs);
     }
     delays.sort_unstable();
-    let (median, tenth) = (delays[delays.len() / 2], delays[delays.len() * 9 / 10]);
-    println!("death known after {} ms (median), {} ms (90 %)", median / MS, tenth / MS);
-    assert!(tenth <= USUAL_DEATH);
+    let (median, percentile_90) = (delays[delays.len() / 2], delays[delays.len() * 9 / 10]);
+    println!("death known after {} ms (median), {} ms (90 %)", median / MS, percentile_90 / MS);
+    assert!(percentile_90 <= DETECTION_TIME_P90);
 }
 
-/// Guards against a refused connection that tells nothing, and against one that ends a life that goes on.
+/// Guards against a refused connection that has no effect, and against one that ends a life that goes on.
 #[test]
-fn a_refused_connection_makes_a_death_known_at_once() {
+fn a_death_is_detected_early_after_a_refused_connection() {
     let mut members = Members::new(4, 20);
     members.run(3_000 * MS);
     let refused = |node: usize| Owner { name: name(node), life: Life(1_000 + node as u64) };
@@ -84,7 +86,7 @@
     assert_eq!(members.downs().count(), 19);
 }
 
-/// Guards against a restart that is not seen: the old life is gone as soon as the new one is heard of.
+/// Guards against an unnoticed restart: the old life must end as soon as the new one is known.
 #[test]
 fn a_restart_ends_the_old_life_at_once() {
     let mut members = Members::new(3, 12);
@@ -100,7 +102,7 @@
     }
 }
 
-/// Guards against a process whose clock went back and whose new life is taken for an old one.
+/// Guards against a process whose clock went back, so that its new life is taken for an old one.
 #[test]
 fn a_life_that_is_too_low_is_raised() {
     let mut members = Members::new(3, 12);
@@ -115,28 +117,28 @@
     assert!(members.nodes[0].machine.as_ref().is_some_and(|machine| machine.is_alive(&owner)));
 }
 
-/// Guards against halves that stay apart after a cut.
+/// Guards against the sides of a network partition that stay apart after it has healed.
 #[test]
-fn halves_come_together_after_a_cut() {
+fn the_sides_of_a_partition_merge_after_it_heals() {
     for seed in 0..5 {
         let mut members = Members::new(seed, 20);
         members.run(3_000 * MS);
         for from in 0..20 {
             for to in 0..20 {
                 if (from < 8) != (to < 8) {
-                    members.cuts.insert((from, to));
+                    members.blocked_links.insert((from, to));
                 }
             }
         }
         members.run(15_000 * MS);
         assert_eq!(members.live_count(0), 7, "seed {seed}");
-        members.cuts.clear();
+        members.blocked_links.clear();
         members.run(8_000 * MS);
         assert!(members.is_complete(), "seed {seed}");
     }
 }
 
-/// Guards against a leave or a change of readiness that is not told, and digests that do not arrive.
+/// Guards against a leave or a change of readiness that does not spread, and digests that do not arrive.
 #[test]
 fn leaves_readiness_and_digests_spread() {
     let mut members = Members::new(9, 12);
@@ -152,8 +154,9 @@
         assert!(machine.get(&name(4)).is_some_and(|(info, _)| !info.ready), "node {node}");
     }
     members.run(15_000 * MS);
-    let told = members.digests.iter().filter(|(_, from, digest)| *from == name(6) && *digest == 77).count();
-    assert_eq!(told, 11);
+    let received =
+        members.digests.iter().filter(|(_, from, digest)| *from == name(6) && *digest == 77).count();
+    assert_eq!(received, 11);
     members.step(4, |machine, _| machine.leave());
     members.kill(4);
     members.run(300 * MS);
@@ -164,25 +167,26 @@
     assert_eq!(left.count(), 11);
 }
 
-/// Guards against a control plane that eats the links: bytes that each of 300 members sends in a calm minute.
+/// Guards against membership using up the links: limits the bytes that each of 300 members sends in a minute without
+/// changes.
 #[test]
-fn calm_members_send_little() {
+fn idle_members_send_few_bytes() {
     let mut members = Members::new(1, 300);
     members.run(20_000 * MS);
     assert!(members.is_complete());
     for node in &mut members.nodes {
-        node.sent = 0;
+        node.sent_bytes = 0;
     }
     members.run(60_000 * MS);
-    let most = members.nodes.iter().map(|node| node.sent / 60).max().unwrap_or(0);
-    let all: u64 = members.nodes.iter().map(|node| node.sent / 60).sum();
+    let most = members.nodes.iter().map(|node| node.sent_bytes / 60).max().unwrap_or(0);
+    let all: u64 = members.nodes.iter().map(|node| node.sent_bytes / 60).sum();
     println!("{} bytes/s on the average, {most} bytes/s at most", all / 300);
     assert!(most < 2_000);
 }
 
 quickcheck! {
-    /// Guards against panics on anything that arrives from outside.
-    fn any_datagram_is_survived(bytes: Vec<u8>, cut: usize) -> bool {
+    /// Guards against panics on arbitrary input from the network.
+    fn arbitrary_datagrams_cause_no_panic(bytes: Vec<u8>, cut: usize) -> bool {
         let mut members = Members::new(1, 2);
         let Some(mut machine) = members.nodes[0].machine.take() else { return false };
         let info = (**machine.own()).clone();
@@ -198,8 +202,8 @@
     }
 }
 
-/// The processes that know more than half of the others two seconds after all but the seeds have started again. Every
-/// third one has a disk, and remembers all members if `remember` is set.
+/// The number of processes that know more than half of the others two seconds after all but the seeds have started
+/// again. Every third process has a disk, and remembers all members if `remember` is set.
 fn joined_without_seeds(seed: u64, remember: bool) -> usize {
     let mut members = Members::new(seed, 30);
     members.run(3_000 * MS);
@@ -219,8 +223,9 @@
     (3..30).filter(|node| members.live_count(*node) > 13).count()
 }
 
-/// Guards against processes that find nobody while the seeds are still down, although they knew others before: after a
-/// loss of all power the seeds may be the last ones to start. One that nobody happens to try has to wait for them.
+/// Guards against processes that find nobody while the seeds are still down, although they knew others before: after
+/// a complete power loss the seeds may be the last ones to start. A process that nobody contacts has to wait for the
+/// seeds.
 #[test]
 fn remembered_members_find_each_other_without_seeds() {
     let counts: Vec<usize> = (0..20).map(|seed| joined_without_seeds(seed, true)).collect();
--- a/crates/membership/tests/simulation/mod.rs
+++ b/crates/membership/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Many members in one process, on a simulated clock and network, from a seed.
+//! Simulates many members in one process, on a simulated clock and network, reproducible from a seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -11,7 +11,7 @@
 
 pub const MS: u64 = 1_000;
 
-/// Bytes that IP and UDP add to a datagram.
+/// Bytes of the IP and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
 
 enum Event {
@@ -25,23 +25,23 @@
     pub life: u64,
     wake: u64,
     stalled: bool,
-    held: Vec<Event>,
-    pub sent: u64,
+    held_events: Vec<Event>,
+    pub sent_bytes: u64,
 }
 
 pub struct Members {
     pub now: u64,
     pub nodes: Vec<Node>,
     pub loss_percent: usize,
-    pub cuts: BTreeSet<(usize, usize)>,
-    /// What each node reported: when, who, what.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    /// Member changes reported so far: time, reporting node and change.
     pub changes: Vec<(u64, usize, MemberChange)>,
     pub restarted: Vec<(usize, Life)>,
     pub digests: Vec<(usize, NodeName, u64)>,
     pub random: Random,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
-    order: u64,
+    sequence: u64,
 }
 
 pub fn address(node: usize) -> SocketAddr {
@@ -53,20 +53,20 @@
 }
 
 impl Members {
-    /// Members that all start within 300 ms and know the first three as seeds.
+    /// Creates members that all start within 300 ms and have the first three as seeds.
     pub fn new(seed: u64, count: usize) -> Self {
         let mut members = Members {
             now: 1_000_000,
             nodes: Vec::new(),
             loss_percent: 0,
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             changes: Vec::new(),
             restarted: Vec::new(),
             digests: Vec::new(),
             random: Random::new(seed),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
         };
         for _ in 0..count {
             members.nodes.push(Node {
@@ -74,8 +74,8 @@
                 life: 0,
                 wake: 0,
                 stalled: false,
-                held: Vec::new(),
-                sent: 0,
+                held_events: Vec::new(),
+                sent_bytes: 0,
             });
         }
         for node in 0..count {
@@ -108,45 +108,45 @@
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].machine = None;
         self.nodes[node].stalled = false;
-        self.nodes[node].held.clear();
+        self.nodes[node].held_events.clear();
     }
 
-    pub fn stall(&mut self, node: usize, span: u64) {
+    pub fn stall(&mut self, node: usize, duration: u64) {
         if self.nodes[node].machine.is_some() && !self.nodes[node].stalled {
             self.nodes[node].stalled = true;
-            self.schedule(self.now + span, Event::Resume { node });
+            self.schedule(self.now + duration, Event::Resume { node });
         }
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order)));
-        self.events.insert(self.order, event);
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence)));
+        self.events.insert(self.sequence, event);
     }
 
-    pub fn run(&mut self, span: u64) {
-        let end = self.now + span;
-        while let Some(Reverse((at, order))) = self.queue.peek().copied() {
+    pub fn run(&mut self, duration: u64) {
+        let end = self.now + duration;
+        while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
             if at > end {
                 break;
             }
             self.queue.pop();
             self.now = at;
-            if let Some(event) = self.events.remove(&order) {
-                self.happen(event);
+            if let Some(event) = self.events.remove(&sequence) {
+                self.handle(event);
             }
         }
         self.now = end;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         if let Event::Datagram { to: node, life, .. } | Event::Wake { node, life } = &event {
             let node = &mut self.nodes[*node];
             if node.life != *life || node.machine.is_none() {
                 return;
             }
             if node.stalled {
-                return node.held.push(event);
+                return node.held_events.push(event);
             }
         }
         match event {
@@ -163,14 +163,14 @@
         }
     }
 
-    /// After a stall the timers go off before the datagrams are read, as it is worst.
+    /// Resumes a paused node. Its timers fire before the held datagrams are read, which is the worst case.
     fn resume(&mut self, node: usize) {
         if !std::mem::replace(&mut self.nodes[node].stalled, false) {
             return;
         }
         self.step(node, |machine, now| machine.tick(now));
-        for event in std::mem::take(&mut self.nodes[node].held) {
-            self.happen(event);
+        for event in std::mem::take(&mut self.nodes[node].held_events) {
+            self.handle(event);
         }
     }
 
@@ -178,11 +178,11 @@
         let now = self.now;
         let Some(machine) = self.nodes[node].machine.as_mut() else { return };
         for effect in input(machine, now) {
-            self.effect(node, effect);
+            self.carry_out(node, effect);
         }
     }
 
-    fn effect(&mut self, node: usize, effect: Effect) {
+    fn carry_out(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Send { to, datagram } => self.send(node, to, datagram),
             Effect::Changed(change) => self.changes.push((self.now, node, change)),
@@ -198,12 +198,12 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         assert!(bytes.len() <= pewterseam_membership::MOST_DATAGRAM_BYTES, "{} bytes", bytes.len());
-        self.nodes[from].sent += bytes.len() as u64 + HEADER_BYTES;
+        self.nodes[from].sent_bytes += bytes.len() as u64 + HEADER_BYTES;
         let SocketAddr::V4(v4) = to else { return };
         let octets = v4.ip().octets();
         let to = usize::from(octets[2]) * 200 + usize::from(octets[3]) - 1;
         if to >= self.nodes.len()
-            || self.cuts.contains(&(from, to))
+            || self.blocked_links.contains(&(from, to))
             || self.random.below(100) < self.loss_percent
         {
             return;
@@ -217,7 +217,7 @@
         self.nodes[node].machine.as_ref().map_or(0, Membership::live_count)
     }
 
-    /// Whether every running member knows all other running ones, and nobody else.
+    /// Whether every running member knows all other running members and nobody else.
     pub fn is_complete(&self) -> bool {
         let running = self.nodes.iter().filter(|node| node.machine.is_some()).count();
         (0..self.nodes.len())
--- a/crates/queue/src/accept.rs
+++ b/crates/queue/src/accept.rs
@@ -16,7 +16,7 @@
 
 /// Fraction of the client timeout after which the client gets an answer, whatever the result so far.
 const ANSWER_DEADLINE_FRACTION: f64 = 0.9;
-/// Fraction of the client timeout after which the message is declined if the stores have not listing_answered the open
+/// Fraction of the client timeout after which the message is declined if the stores have not listed the open
 /// messages of its ordering key. Nothing is written by then, and the client has the remaining time to try another
 /// relay.
 const LISTING_DEADLINE_FRACTION: f64 = 0.45;
--- a/crates/queue/src/calls.rs
+++ b/crates/queue/src/calls.rs
@@ -41,13 +41,13 @@
 struct Call {
     store: StoreId,
     purpose: Purpose,
-    at: Micros,
+    sent_at: Micros,
 }
 
 /// All pending requests.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
-    last: u64,
+    last_id: u64,
     open: HashMap<CallId, Call>,
 }
 
@@ -59,9 +59,9 @@
 
 impl Queue {
     pub(crate) fn ask(&mut self, store: &StoreId, purpose: Purpose, request: StoreRequest) {
-        self.calls.last += 1;
-        let call = CallId(self.calls.last);
-        self.calls.open.insert(call, Call { store: store.clone(), purpose, at: self.now });
+        self.calls.last_id += 1;
+        let call = CallId(self.calls.last_id);
+        self.calls.open.insert(call, Call { store: store.clone(), purpose, sent_at: self.now });
         self.clock.set(self.now + CALL_TIMEOUT, Timer::CallTimeout(call));
         self.effects.push(Effect::Ask { store: store.clone(), call, request: Box::new(request) });
     }
@@ -129,10 +129,10 @@
     }
 
     fn call_answered(&mut self, call: Call, response: StoreResponse) {
-        let Call { store, purpose, at } = call;
-        self.stores.answered(&store, self.now.saturating_sub(at));
+        let Call { store, purpose, sent_at } = call;
+        self.stores.answered(&store, self.now.saturating_sub(sent_at));
         if matches!(purpose, Purpose::Append(_) | Purpose::Confirm(..)) {
-            self.leases.renewed(&store, at, self.now);
+            self.leases.renewed(&store, sent_at, self.now);
         }
         match (purpose, response) {
             (Purpose::List(key), StoreResponse::OpenMessages { names, .. }) => {
--- a/crates/queue/src/stores.rs
+++ b/crates/queue/src/stores.rs
@@ -68,12 +68,12 @@
         self.live.contains(store)
     }
 
-    pub fn answered(&mut self, store: &StoreId, took: Micros) {
+    pub fn answered(&mut self, store: &StoreId, response_time: Micros) {
         let health = self.health.entry(store.clone()).or_default();
         health.avoid_until = 0;
         health.unanswered_in_a_row = 0;
         health.average_response_time +=
-            RESPONSE_TIME_SAMPLE_WEIGHT * (took as f64 - health.average_response_time);
+            RESPONSE_TIME_SAMPLE_WEIGHT * (response_time as f64 - health.average_response_time);
     }
 
     /// Records that the store did not respond.
--- a/crates/queue/tests/common/mod.rs
+++ b/crates/queue/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A queue among stores that answer from memory, without a network: tests decide when each call is answered.
+//! Test harness: a queue with in-memory stores and no network. Tests decide when each request is answered.
 
 #![allow(dead_code)]
 
@@ -18,7 +18,7 @@
 
 pub const MILLISECOND: Micros = 1_000;
 
-/// One store's memory.
+/// An in-memory store.
 #[derive(Default)]
 pub struct FakeStore {
     pub records: BTreeMap<MessageName, Record>,
@@ -28,33 +28,33 @@
     pub released: BTreeSet<MessageName>,
 }
 
-/// A queue, its stores and what came of it.
+/// A queue, its stores, and the effects seen so far.
 pub struct World {
     pub now: Micros,
     pub queue: Queue,
     pub stores: BTreeMap<StoreId, FakeStore>,
-    /// Stores that answer nothing.
+    /// Stores that answer no request.
     pub silent: BTreeSet<StoreId>,
-    /// Stores that take no records and answer nothing to them.
+    /// Stores that lose records sent to them and do not respond to these; they answer all other requests.
     pub silent_to_records: BTreeSet<StoreId>,
-    /// Calls that wait for a silent store.
+    /// Requests to silent stores, not answered yet.
     pub unanswered: Vec<(StoreId, CallId, StoreRequest)>,
     pub answers: HashMap<ClientToken, Answer>,
     pub submitted: Vec<MessageKey>,
-    /// The service that each of these was handed to, in the same order.
+    /// The service that each submitted message goes to, in the order of `submitted`.
     pub services: Vec<Arc<str>>,
-    /// When each of these was due.
+    /// The due time of each submitted message, in the order of `submitted`.
     pub due: Vec<Micros>,
     pub withdrawn: Vec<MessageKey>,
     pub revised: Vec<(MessageKey, Submission)>,
     pub permits: Vec<SendPermit>,
     pub refused: Vec<AttemptNumber>,
-    /// Messages whose run had a result without effect.
+    /// Messages with a run result that had no effect.
     pub dropped_results: Vec<MessageKey>,
-    /// Claims are on their way until [`World::answer_claims`].
+    /// Holds claims back until [`World::answer_claims`].
     pub hold_claims: bool,
     held_claims: Vec<(StoreId, CallId, StoreRequest)>,
-    /// Requests to stores so far.
+    /// Number of requests to stores so far.
     pub asked: usize,
     next_token: u64,
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// A route whose prefix is its name.
+/// The key of a route whose path prefix is its name.
 pub fn route_key(name: &str) -> RouteKey {
     RouteKey { hostname: Arc::from("host.example"), path_prefix: Arc::from(format!("/{name}/")) }
 }
@@ -90,7 +90,7 @@
 }
 
 impl World {
-    /// Four stores in four zones, one of which may be lost.
+    /// Four stores in four zones. The placement tolerates the loss of one store.
     pub fn new() -> Self {
         let settings = QueueSettings {
             owner: owner("relay-1"),
@@ -162,7 +162,7 @@
         self.carry_out(effects);
     }
 
-    /// Asks for the permit to send a message.
+    /// Requests a permit to send a message.
     pub fn request_send(&mut self, key: MessageKey) -> AttemptNumber {
         self.next_token += 1;
         let attempt = AttemptNumber(self.next_token);
@@ -199,15 +199,15 @@
             return;
         }
         let is_record = matches!(request, StoreRequest::Append { .. });
-        let is_unheard = is_record && self.silent_to_records.contains(&store);
-        if is_unheard || self.silent.contains(&store) {
+        let is_lost = is_record && self.silent_to_records.contains(&store);
+        if is_lost || self.silent.contains(&store) {
             self.unanswered.push((store, call, request));
             return;
         }
         self.deliver(store, call, request);
     }
 
-    /// The claims that are on their way arrive.
+    /// Delivers the claims that were held back.
     pub fn answer_claims(&mut self) {
         self.hold_claims = false;
         for (store, call, request) in std::mem::take(&mut self.held_claims) {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// The store takes the request and its answer arrives.
+    /// The store processes the request, and the queue receives the response.
     pub fn deliver(&mut self, store: StoreId, call: CallId, request: StoreRequest) {
         let response = self.process(&store, request);
         let effects = self.queue.store_answered(self.now, call, response);
@@ -224,7 +224,7 @@
 
     pub fn process(&mut self, id: &StoreId, request: StoreRequest) -> StoreResponse {
         let store = self.stores.get_mut(id).expect("a known store");
-        let done = StoreResponse::Done { store: id.clone() };
+        let acknowledged = StoreResponse::Done { store: id.clone() };
         match request {
             StoreRequest::Append { record, .. } => {
                 let status = store.status(&record.name);
@@ -233,7 +233,7 @@
                 }
                 store.owners.entry(record.name.clone()).or_insert((record.owner.clone(), 0));
                 store.records.insert(record.name.clone(), record);
-                done
+                acknowledged
             }
             StoreRequest::ListOpen { ordering_key, .. } => {
                 let open = |record: &&Record| {
@@ -250,7 +250,7 @@
                         Fact::Attempted { name, failures } => drop(store.failures.insert(name, failures)),
                     }
                 }
-                done
+                acknowledged
             }
             StoreRequest::Look { names } | StoreRequest::Confirm { names, .. } => {
                 let statuses = names.iter().map(|name| store.status(name)).collect();
@@ -267,22 +267,22 @@
                     }
                 }
                 let reason = Decline::AlreadyClaimed;
-                if granted { done } else { StoreResponse::Declined { store: id.clone(), reason } }
+                if granted { acknowledged } else { StoreResponse::Declined { store: id.clone(), reason } }
             }
             StoreRequest::Release { names, .. } => {
                 store.released.extend(names);
-                done
+                acknowledged
             }
             StoreRequest::Fetch { name } => {
                 StoreResponse::Found { store: id.clone(), record: store.records.get(&name).cloned() }
             }
-            StoreRequest::Pull { .. } => done,
+            StoreRequest::Pull { .. } => acknowledged,
         }
     }
 
-    /// Lets time pass, timer by timer.
-    pub fn run_for(&mut self, span: Micros) {
-        let until = self.now + span;
+    /// Advances the time, timer by timer.
+    pub fn run_for(&mut self, duration: Micros) {
+        let until = self.now + duration;
         while let Some(at) = self.queue.wake_at().filter(|at| *at <= until) {
             self.now = at.max(self.now);
             let effects = self.queue.tick(self.now);
@@ -291,7 +291,7 @@
         self.now = until;
     }
 
-    /// The placement that all worlds use.
+    /// The placement of all test worlds.
     pub fn placement(&self) -> Arc<Placement> {
         let entries: Vec<StoreEntry> = (0..4).map(entry).collect();
         Arc::new(Placement {
@@ -306,7 +306,7 @@
         self.placement().groups(name.partition().expect("a partition"))[0].stores.clone()
     }
 
-    /// Stores that hold a record.
+    /// Number of stores that hold a record.
     pub fn holders(&self, name: &MessageName) -> usize {
         self.stores.values().filter(|store| store.records.contains_key(name)).count()
     }
@@ -316,7 +316,7 @@
         self.stores.iter().filter(holds).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Stores that know an end.
+    /// Number of stores that know an end.
     pub fn ends(&self, name: &MessageName) -> usize {
         self.stores.values().filter(|store| store.ends.contains_key(name)).count()
     }
@@ -341,18 +341,18 @@
 
 /// A world whose stores hold one message of a relay that is gone.
 pub fn with_orphan() -> (World, MessageName, OrphanMessage) {
-    let mut before = World::new();
+    let mut previous = World::new();
     let name = MessageName::new("a", Partition::of("a"));
-    let new = before.message("a", None);
-    before.accept(new);
+    let new = previous.message("a", None);
+    previous.accept(new);
     let mut world = World::new();
-    world.stores = before.stores;
+    world.stores = previous.stores;
     let mut record = None;
     for store in world.stores.values_mut() {
-        if let Some(kept) = store.records.get_mut(&name) {
-            kept.owner = owner("gone");
+        if let Some(stored) = store.records.get_mut(&name) {
+            stored.owner = owner("gone");
             store.owners.insert(name.clone(), (owner("gone"), 0));
-            record = Some(kept.clone());
+            record = Some(stored.clone());
         }
     }
     let orphan = OrphanMessage {
--- a/crates/queue/tests/handover.rs
+++ b/crates/queue/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Messages that change their owner.
+//! Changes of ownership of messages.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use pewterseam_wire::record::{End, MessageName};
 use pewterseam_wire::store::Status;
 
-// Danger: nobody runs the messages of a relay that died.
+// Without adoption, nobody runs the messages of a relay that died.
 #[test]
 fn an_orphan_is_claimed_and_run() {
     let (mut world, name, orphan) = with_orphan();
@@ -23,14 +23,14 @@
     assert_eq!(world.submitted.len(), 1, "an offer that is repeated starts nothing");
 }
 
-// Danger: an end on f + 1 disks is not seen, and the message runs again.
+// If the facts read did not reach every end on f + 1 disks, the message would run again.
 #[test]
 fn an_orphan_whose_end_one_store_knows_is_not_run() {
     let (mut world, name, orphan) = with_orphan();
     let group = world.group(&name);
     let knows = group.last().expect("a group").clone();
     world.stores.get_mut(&knows).expect("a store").ends.insert(name.clone(), End::Refused);
-    // Two of three answer; one of them may be the one that knows.
+    // Two of the three stores answer; the silent one may be the one that knows the end.
     for silent in &group {
         let (mut world, name, _) = with_orphan();
         world.stores.get_mut(&knows).expect("a store").ends.insert(name.clone(), End::Refused);
@@ -45,7 +45,7 @@
     assert!(world.submitted.is_empty());
 }
 
-// Danger: fewer answers than a read quorum are taken for certain.
+// Fewer responses than a read quorum must not count as certain.
 #[test]
 fn an_orphan_waits_for_a_read_quorum() {
     let (mut world, name, orphan) = with_orphan();
@@ -59,9 +59,9 @@
     assert_eq!(world.submitted.len(), 1);
 }
 
-// Danger: a stop that hands over a message that runs, or forgets one that was just accepted.
+// A stopping relay must not hand over a running message, and must not forget a message that it has just accepted.
 #[test]
-fn a_stop_gives_up_what_does_not_run() {
+fn a_stopping_relay_releases_messages_that_are_not_running() {
     let mut world = World::new();
     let running = world.message("running", None);
     world.accept(running);
@@ -86,9 +86,9 @@
     assert!(world.queue.is_drained());
 }
 
-// Danger: a process that stood still runs what others have taken over meanwhile.
+// A process that was paused must not run messages that other relays have adopted meanwhile.
 #[test]
-fn after_a_standstill_what_was_claimed_by_others_is_dropped() {
+fn after_a_process_pause_messages_claimed_by_others_are_dropped() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let mut new = world.message("a", None);
@@ -107,9 +107,9 @@
     assert!(world.queue.is_empty());
 }
 
-// Danger: a caller is told 'unknown' while the stores that know were not heard.
+// A caller must not get the status "unknown" before the stores that may know the message have answered.
 #[test]
-fn a_state_is_certain_only_with_a_read_quorum() {
+fn a_status_is_returned_only_after_a_read_quorum() {
     let world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let group = world.group(&name);
@@ -120,9 +120,9 @@
     assert_eq!(read.write_back(), None, "no store has the message without its end");
 }
 
-// Danger: a caller is told of an end, and the next one that the message is pending.
+// Without the write-back, one caller reads an end and the next one reads the message as pending.
 #[test]
-fn an_end_that_is_told_is_written_back() {
+fn a_reported_end_is_written_back() {
     let world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let group = world.group(&name);
@@ -135,13 +135,13 @@
     assert_eq!(read.write_back(), Some((&end, &[group[0].clone()].into())));
 }
 
-// Danger: two stores with different views offer a message to two relays, and both run it.
+// Two stores with different views may offer a message to two relays; both must not run it.
 #[test]
-fn of_two_heirs_one_runs_it() {
+fn only_one_of_two_claimants_runs_an_orphan() {
     let (mut first, name, orphan) = with_orphan();
     offer(&mut first, &orphan);
     assert_eq!(first.submitted.len(), 1);
-    // The second heir asked before the first one's claim, and claims the same number after it.
+    // The second relay asked before the claim of the first one, and makes the same claim after it.
     let mut second = World::new();
     second.stores = with_orphan().0.stores;
     let claiming: Vec<_> = second.stores.keys().cloned().collect();
@@ -155,9 +155,10 @@
     assert!(second.submitted.is_empty(), "{claiming:?} {name:?}");
 }
 
-// Danger: an heir with one store's word alone runs it beside another that has the other stores'.
+// Otherwise a relay with the grant of a single store runs the message at the same time as a relay that has the
+// grants of the other stores.
 #[test]
-fn one_store_alone_makes_no_owner() {
+fn a_claim_granted_by_one_store_makes_no_owner() {
     let (mut world, name, orphan) = with_orphan();
     let holders: Vec<_> = world.holders_of(&name);
     for store in &holders[1..] {
--- a/crates/queue/tests/life.rs
+++ b/crates/queue/tests/life.rs
@@ -1,4 +1,4 @@
-//! The life of a message: accepted when durable, run in order, ended on enough stores.
+//! Lifecycle of a message: accepted when durable, run in order, ended on enough stores.
 
 mod common;
 
@@ -15,9 +15,9 @@
     RunResult::Completed { signature: Arc::from("signature") }
 }
 
-// Danger: 202 before the second sync loses the message with the first disk.
+// A 202 response before the second sync would lose the message with the first disk.
 #[test]
-fn it_is_accepted_only_when_two_stores_have_it() {
+fn a_message_is_accepted_only_when_two_stores_have_it() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let group = world.group(&name);
@@ -32,9 +32,9 @@
     assert_eq!(world.submitted.len(), 1);
 }
 
-// Danger: one frozen store holds up every message of its partitions.
+// Without hedging, one frozen store blocks every message of its partitions.
 #[test]
-fn a_silent_store_is_passed_over() {
+fn a_silent_store_does_not_delay_acceptance() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let first = world.group(&name)[0].clone();
@@ -45,9 +45,9 @@
     assert_eq!(world.answers.get(&token), Some(&Answer::Accepted { name }));
 }
 
-// Danger: 503 promises that it never runs, while a store may hold it.
+// A 503 response promises that the message never runs, so it must not be sent while a store may hold the message.
 #[test]
-fn no_promise_is_given_while_a_store_may_hold_it() {
+fn a_message_is_not_declined_while_a_store_may_hold_it() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     world.silent.extend(world.group(&name));
@@ -57,9 +57,9 @@
     assert_eq!(world.answers.get(&token), Some(&Answer::Unknown));
 }
 
-// Danger: a client that could go elsewhere waits in vain.
+// Otherwise a client that could try another relay waits in vain.
 #[test]
-fn it_is_declined_at_once_when_too_few_stores_live() {
+fn a_message_is_declined_at_once_when_too_few_stores_are_live() {
     let mut world = World::new();
     world.queue.set_live_stores(Default::default());
     let new = world.message("a", None);
@@ -68,7 +68,7 @@
     assert!(world.queue.is_empty());
 }
 
-// Danger: nothing was written when the question about the key went unanswered, and the client is not told.
+// Nothing was written when the listing went unanswered, so the client must learn that the message will not run.
 #[test]
 fn an_ordered_message_that_was_not_written_is_declined() {
     let mut world = World::new();
@@ -80,9 +80,9 @@
     assert!(world.queue.is_empty());
 }
 
-// Danger: the second message of a key starts before the first has ended.
+// The second message of a key must not start before the first has ended.
 #[test]
-fn a_key_runs_one_after_the_other() {
+fn messages_of_a_key_run_one_after_the_other() {
     let mut world = World::new();
     let first = world.message("a", Some("key"));
     world.accept(first);
@@ -92,21 +92,21 @@
     let running = world.submitted[0];
     world.ran(running, RunResult::Failed);
     world.run_for(100 * MILLISECOND);
-    assert_eq!(world.submitted.len(), 2, "the first runs again, the second still waits");
+    assert_eq!(world.submitted.len(), 2, "the first message runs again, the second still waits");
     assert_eq!(world.submitted[1], running);
     world.ran(running, completed());
     assert_eq!(world.submitted.len(), 3);
 }
 
-// Danger: a predecessor of another relay is overtaken, or waited for after its end.
+// A message must not overtake a predecessor at another relay, and must not wait for it after its end.
 #[test]
-fn a_predecessor_elsewhere_holds_it_until_a_store_knows_its_end() {
+fn a_message_waits_for_a_predecessor_at_another_relay_until_a_store_knows_its_end() {
     let mut world = World::new();
     let partition = Partition::of("key");
     let earlier = MessageName::new("earlier", partition);
     let new = world.message("earlier", Some("key"));
     world.accept(new);
-    // The record stays at the stores while this relay forgets it, as if another relay owned it.
+    // This relay releases the message while the stores keep the record, as if another relay owned it.
     let effects = world.queue.stop(world.now);
     world.carry_out(effects);
     let running = world.submitted[0];
@@ -125,9 +125,9 @@
     assert_eq!(other.submitted.len(), 1);
 }
 
-// Danger: a message that was never accepted, and whose only copy is lost, blocks its key for ever.
+// A message that was never accepted, and whose only copy is lost, must not block its key for ever.
 #[test]
-fn a_predecessor_that_a_read_quorum_does_not_know_is_none() {
+fn a_predecessor_unknown_to_a_read_quorum_does_not_block() {
     let mut world = World::new();
     let new = world.message("lost", Some("key"));
     world.accept(new);
@@ -144,9 +144,9 @@
     assert_eq!(other.submitted.len(), 1);
 }
 
-// Danger: an end that one store alone knows is lost with it, and the message runs again.
+// An end that only one store knows is lost with that store, and the message runs again.
 #[test]
-fn an_end_is_told_until_a_write_quorum_has_it() {
+fn an_end_is_resent_until_a_write_quorum_has_it() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let new = world.message("a", None);
@@ -161,43 +161,43 @@
     world.ran(world.submitted[0], completed());
     world.run_for(20 * MILLISECOND);
     assert_eq!(world.ends(&name), 1);
-    assert_eq!(world.queue.len(), 1, "it is kept until the end is safe");
+    assert_eq!(world.queue.len(), 1, "the message is kept until a write quorum has its end");
     world.silent.clear();
     world.run_for(5_000 * MILLISECOND);
     assert_eq!(world.ends(&name), 2);
     assert!(world.queue.is_empty());
 }
 
-/// A relay that is killed right after it has read a success cannot keep the message from running again; the shorter the time
-/// until a store has been told, the fewer do. Seen: successes read at most 10 ms before a kill ran again once an outage of their
-/// hosts was over, as ends waited 10 ms for others to travel with.
+/// A relay that is killed just after it has read a success cannot prevent another run of the message; the sooner a
+/// store knows the end, the fewer messages run again. Successes read at most 10 ms before a kill ran again after an
+/// outage of their hosts, because ends waited 10 ms to be batched.
 #[test]
-fn an_end_is_told_at_once() {
+fn an_end_is_sent_at_once() {
     let mut world = World::new();
     let names = ["a", "b", "c"];
     for name in names {
         let new = world.message(name, None);
         world.accept(new);
     }
-    let told = |world: &World, name: &str| world.ends(&MessageName::new(name, Partition::of(name)));
+    let end_copies = |world: &World, name: &str| world.ends(&MessageName::new(name, Partition::of(name)));
     world.ran(world.submitted[0], completed());
     world.run_for(MILLISECOND);
-    assert_eq!(told(&world, "a"), 2);
+    assert_eq!(end_copies(&world, "a"), 2);
     let asked = world.asked;
     for key in [1, 2] {
         world.ran(world.submitted[key], completed());
         world.run_for(MILLISECOND);
     }
-    assert_eq!((told(&world, "b"), told(&world, "c")), (0, 0), "those that follow travel together");
+    assert_eq!((end_copies(&world, "b"), end_copies(&world, "c")), (0, 0), "the following ends are batched");
     world.run_for(10 * MILLISECOND);
-    assert_eq!((told(&world, "b"), told(&world, "c")), (2, 2));
-    assert!(world.asked <= asked + 3, "one request a store");
+    assert_eq!((end_copies(&world, "b"), end_copies(&world, "c")), (2, 2));
+    assert!(world.asked <= asked + 3, "one request per store");
 }
 
-/// Seen: a message that failed each time was tried eight times at a limited service while one that had waited since before its first
-/// failure got no permit for 6 s; each retry looked as if it had just come.
+/// A message that failed each time was tried eight times at a limited service, while a message that had waited since
+/// before its first failure got no permit for 6 s, because each retry looked newly arrived.
 #[test]
-fn a_retry_is_as_old_as_its_first_run() {
+fn a_retry_keeps_the_due_time_of_the_first_run() {
     let mut world = World::new();
     let new = world.message("a", None);
     world.accept(new);
@@ -208,9 +208,9 @@
     assert_eq!(world.due[0], world.due[1]);
 }
 
-// Danger: a success is dropped without a word, and nobody finds out why the message ran again.
+// If the result is dropped without a report, nobody can find out why the message ran again.
 #[test]
-fn a_result_without_effect_is_told() {
+fn a_result_without_effect_is_reported() {
     let mut world = World::new();
     let new = world.message("a", None);
     world.accept(new);
@@ -221,9 +221,9 @@
     assert_eq!(world.dropped_results, [key]);
 }
 
-// Danger: 'dead_letter' is told of a message that may still run.
+// The status `dead_letter` must not be reported for a message that may still run.
 #[test]
-fn failed_attempts_end_it_only_when_all_are_used() {
+fn a_message_ends_as_failed_only_when_all_attempts_are_used() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let new = world.message("a", None);
@@ -238,7 +238,8 @@
     assert_eq!(ends, [&End::AttemptsUsed, &End::AttemptsUsed]);
 }
 
-/// Guards against a route without a limit of attempts, or without the field, whose messages end at their first failure.
+/// Guards against a route whose attempts are unlimited, or whose limit is not set, ending its messages at their
+/// first failure.
 #[test]
 fn without_a_limit_of_attempts_no_failure_ends_a_message() {
     let mut world = World::new();
@@ -257,9 +258,9 @@
     assert_eq!(world.ends(&name), 0);
 }
 
-// Danger: a delayed message runs early.
+// A delayed message must not run before its delay has passed.
 #[test]
-fn a_delay_is_waited_for() {
+fn a_delayed_message_does_not_run_early() {
     let mut world = World::new();
     let mut new = world.message("a", None);
     new.delay_ms = 1_500;
@@ -270,7 +271,7 @@
     assert_eq!(world.submitted.len(), 1);
 }
 
-// Danger: a message of a dropped route runs on under an older configuration.
+// A message of a dropped route must not run under an older configuration.
 #[test]
 fn a_dropped_route_ends_its_messages() {
     let mut world = World::new();
@@ -285,9 +286,10 @@
     assert_eq!(world.ends(&name), 2);
 }
 
-// Danger: a relay that is cut off from the stores, while others see them live, holds each client for its whole patience.
+// A relay that cannot reach the stores, while membership sees them as live, must not hold each client for its whole
+// timeout.
 #[test]
-fn a_relay_that_no_store_answers_declines_at_once_until_they_answer_again() {
+fn a_relay_without_reachable_stores_declines_at_once_until_they_answer_again() {
     let mut world = World::new();
     world.silent.extend(world.stores.keys().cloned().collect::<Vec<_>>());
     for id in ["a", "b", "c", "d"] {
@@ -307,9 +309,9 @@
     assert!(matches!(world.answers.get(&token), Some(Answer::Accepted { .. })));
 }
 
-// Danger: a record that one store has, and that nobody writes again, holds up its key for ever.
+// A record that only one store has, and that is not written again, blocks its key for ever.
 #[test]
-fn a_record_whose_answers_were_lost_is_written_once_stores_are_back() {
+fn a_record_whose_responses_were_lost_is_written_again_when_the_stores_return() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("key"));
     let group = world.group(&name);
@@ -324,13 +326,13 @@
     assert_eq!(world.holders(&name), 1);
     world.silent_to_records.clear();
     world.run_for(4_000 * MILLISECOND);
-    assert!(world.holders(&name) >= 2, "it is written again");
-    assert_eq!(world.submitted.len(), 1, "and runs");
+    assert!(world.holders(&name) >= 2, "the record is written again");
+    assert_eq!(world.submitted.len(), 1, "and the message runs");
 }
 
-// Danger: an heir counts one attempt too few, as it begins before it knows of the last one.
+// A new owner that starts before it knows of the last attempt counts one attempt too few.
 #[test]
-fn a_failed_attempt_is_told_before_the_release() {
+fn a_failed_attempt_is_reported_before_the_release() {
     let mut world = World::new();
     let new = world.message("a", None);
     world.accept(new);
@@ -340,13 +342,17 @@
     let key = world.submitted[0];
     world.ran(key, RunResult::Failed);
     let stores = world.stores.values().filter(|store| store.released.contains(&name));
-    let told: Vec<u32> = stores.filter_map(|store| store.failures.get(&name).copied()).collect();
-    assert!(told.len() >= 2, "every holder that was told of the release knows of the attempt: {told:?}");
+    let failure_counts: Vec<u32> = stores.filter_map(|store| store.failures.get(&name).copied()).collect();
+    assert!(
+        failure_counts.len() >= 2,
+        "every store that has the release knows of the attempt: {failure_counts:?}"
+    );
 }
 
-// Danger: a message of which nothing is written is held for the client's whole patience, and no other relay can take it.
+// A message of which nothing is written must not be held for the whole client timeout, because no other relay can
+// accept it then.
 #[test]
-fn a_key_that_no_store_tells_of_is_refused_while_the_client_has_time_left() {
+fn an_ordered_message_is_declined_early_when_no_store_lists_its_key() {
     let mut world = World::new();
     world.silent.extend(world.stores.keys().cloned().collect::<Vec<_>>());
     let new = world.message("a", Some("key"));
@@ -356,16 +362,16 @@
     assert_eq!(world.answers.get(&token), Some(&Answer::Declined { retry_after_ms: 0 }));
     world.silent.clear();
     world.run_for(2_000 * MILLISECOND);
-    assert!(world.submitted.is_empty(), "it never runs");
+    assert!(world.submitted.is_empty(), "the message never runs");
 }
 
-// Danger: a message without a key is refused although other stores than those of its id could keep it.
+// A message without a key must not be declined while stores of another partition can hold it.
 #[test]
-fn a_message_without_a_key_goes_to_stores_that_are_there() {
+fn a_message_without_a_key_goes_to_live_stores() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
-    let gone = world.group(&name);
-    let live = world.stores.keys().filter(|store| !gone[..2].contains(store)).cloned();
+    let partition_stores = world.group(&name);
+    let live = world.stores.keys().filter(|store| !partition_stores[..2].contains(store)).cloned();
     let live = live.collect();
     world.queue.set_live_stores(live);
     let new = world.message("a", None);
@@ -374,17 +380,17 @@
     assert!(matches!(world.answers.get(&token), Some(Answer::Accepted { .. })), "{:?}", world.answers);
 }
 
-/// A disk that has come to the address of a store answers a call to it.
-fn answer_of_another_disk(world: &mut World, store: StoreId, call: CallId) {
+/// Answers a request from a disk that now has the address of the store that was asked.
+fn respond_from_another_disk(world: &mut World, store: StoreId, call: CallId) {
     let other_disk = StoreId { disk: DiskId(store.disk.0 + 1_000), ..store };
     let effects = world.queue.store_answered(world.now, call, StoreResponse::Done { store: other_disk });
     world.carry_out(effects);
 }
 
-/// Guards against a message that is accepted, or whose end is forgotten, on the word of an empty disk that has come to the
-/// address of a store: that disk is in no set, and nobody reads it.
+/// Guards against a message that is accepted, or whose end is forgotten, because of a response of an empty disk that
+/// took over the address of a store: that disk is in no set, and nobody reads it.
 #[test]
-fn an_answer_of_another_disk_counts_for_nothing() {
+fn a_response_of_another_disk_is_ignored() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let group = world.group(&name);
@@ -393,8 +399,12 @@
     new.patience_ms = 10_000;
     let token = world.accept(new);
     let (store, call, _) = world.unanswered.remove(0);
-    answer_of_another_disk(&mut world, store, call);
-    assert_eq!(world.answers.get(&token), None, "one store has it, and an empty disk says so too");
+    respond_from_another_disk(&mut world, store, call);
+    assert_eq!(
+        world.answers.get(&token),
+        None,
+        "only one store of the group has the record; the other response came from an empty disk"
+    );
     world.silent.clear();
     world.run_for(3_000 * MILLISECOND);
     assert_eq!(world.answers.get(&token), Some(&Answer::Accepted { name: name.clone() }));
@@ -403,7 +413,7 @@
     world.ran(world.submitted[0], completed());
     world.run_for(20 * MILLISECOND);
     for (store, call, _) in std::mem::take(&mut world.unanswered) {
-        answer_of_another_disk(&mut world, store, call);
+        respond_from_another_disk(&mut world, store, call);
     }
     assert!(!world.queue.is_empty(), "no store of the message knows its end");
     world.silent.clear();
--- a/crates/queue/tests/sending.rs
+++ b/crates/queue/tests/sending.rs
@@ -1,4 +1,4 @@
-//! Permits to send: only while no other relay can own the message.
+//! Permits to send: granted only while no other relay can own the message.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use pewterseam_wire::record::{End, MessageName};
 use pewterseam_wire::store::{OWNER_LEASE, StoreRequest};
 
-/// A world with one message that runs.
+/// A world with one running message.
 fn with_running() -> (World, MessageName, MessageKey) {
     let mut world = World::new();
     let new = world.message("a", None);
@@ -23,38 +23,39 @@
     RunResult::Completed { signature: Arc::from("signature") }
 }
 
-/// Guards against a round trip before each message's first run, and against a permit that outlives the stores' leases.
+/// Guards against a round trip to the stores before each message's first run, and against a permit that outlives the
+/// leases.
 #[test]
 fn a_message_that_was_just_accepted_is_sent_at_once() {
     let (mut world, _, key) = with_running();
     let (accepted_at, asked) = (world.now, world.asked);
     world.request_send(key);
-    assert_eq!(world.asked, asked, "no store is asked");
+    assert_eq!(world.asked, asked, "no request goes to a store");
     let permit = world.permits.pop().expect("a permit");
     assert_eq!(permit.key(), key);
     assert!(permit.expires_at() < accepted_at + OWNER_LEASE);
 }
 
-/// Guards against a relay that was cut off, or stood still, and runs what another relay has run meanwhile.
+/// Guards against a relay that was partitioned or paused and runs a message that another relay has run meanwhile.
 #[test]
-fn after_the_lease_a_message_of_another_owner_is_not_sent() {
+fn after_lease_expiry_a_message_of_another_owner_is_not_sent() {
     let (mut world, name, key) = with_running();
     world.queue.set_live_relays([owner("relay-1"), owner("other")].into());
     for store in world.holders_of(&name) {
         world.stores.get_mut(&store).expect("a store").owners.insert(name.clone(), (owner("other"), 1));
     }
-    // The timers have not run yet: it is asked first thing after a freeze.
+    // The timers have not fired yet: the request is the first event after the pause.
     world.now += OWNER_LEASE;
     let attempt = world.request_send(key);
     assert!(world.permits.is_empty());
     assert_eq!(world.refused, [attempt]);
     assert_eq!(world.withdrawn, [key]);
-    assert!(world.queue.is_empty(), "the other relay has it");
+    assert!(world.queue.is_empty(), "the other relay owns the message");
 }
 
-/// Guards against a message that ended at another relay and runs here again.
+/// Guards against a message that ended at another relay and runs again here.
 #[test]
-fn after_the_lease_a_message_that_has_ended_is_not_sent() {
+fn after_lease_expiry_a_message_that_has_ended_is_not_sent() {
     let (mut world, name, key) = with_running();
     let group = world.group(&name);
     for store in &group[1..] {
@@ -68,24 +69,24 @@
     assert!(world.queue.is_empty());
 }
 
-/// Guards against a message that is held up although it is still owned here.
+/// Guards against a message that is refused although this relay still owns it.
 #[test]
-fn after_the_lease_an_own_message_is_confirmed_and_sent() {
+fn after_lease_expiry_an_owned_message_is_confirmed_and_sent() {
     let (mut world, _, key) = with_running();
     world.now += OWNER_LEASE;
     let asked_at = world.now;
     world.request_send(key);
     let permit = world.permits.pop().expect("a permit");
     assert!(permit.expires_at() < asked_at + OWNER_LEASE);
-    // The answers have renewed the lease.
+    // The responses have renewed the lease.
     let asked = world.asked;
     world.request_send(key);
     assert_eq!((world.permits.len(), world.asked), (1, asked));
 }
 
-/// Guards against a lease that was renewed after a lapse and covers messages from before it.
+/// Guards against a lease that was renewed after a gap and is taken to cover messages from before the gap.
 #[test]
-fn a_lease_that_lapsed_covers_no_earlier_message() {
+fn a_lease_renewed_after_a_gap_covers_no_earlier_message() {
     let (mut world, name, key) = with_running();
     world.run_for(OWNER_LEASE);
     for number in 0..40 {
@@ -97,7 +98,8 @@
     assert!(world.asked > asked, "the stores of {name:?} are asked");
 }
 
-/// Guards against a run without a quorum's word, and against an attempt that waits for it for ever.
+/// Guards against a run without the confirmation of a quorum, and against an attempt that waits for the confirmation
+/// for ever.
 #[test]
 fn without_a_read_quorum_nothing_is_sent() {
     let (mut world, name, key) = with_running();
@@ -108,17 +110,17 @@
     world.run_for(600 * MILLISECOND);
     assert!(world.permits.is_empty());
     assert_eq!(world.refused, [attempt]);
-    assert!(world.withdrawn.is_empty(), "it is tried again");
-    // Answers that come after the time-out are to no attempt.
+    assert!(world.withdrawn.is_empty(), "the message is retried");
+    // Responses after the timeout belong to no attempt.
     for (store, call, request) in std::mem::take(&mut world.unanswered) {
         world.deliver(store, call, request);
     }
     assert!(world.permits.is_empty());
 }
 
-/// Guards against the run of an heir beside one of the former owner that ends late.
+/// Guards against a run by a new owner at the same time as a run of the former owner that ends late.
 #[test]
-fn a_message_that_was_taken_over_is_confirmed_each_time() {
+fn an_adopted_message_is_confirmed_before_each_attempt() {
     let (mut world, name, orphan) = with_orphan();
     offer(&mut world, &orphan);
     let key = world.submitted[0];
@@ -126,7 +128,7 @@
     assert_eq!(world.permits.len(), 1);
     world.ran(key, RunResult::NotRun);
     world.run_for(200 * MILLISECOND);
-    // The former owner had a run out, which has ended now.
+    // The former owner had a run in progress, which has ended now.
     let knows = world.group(&name)[0].clone();
     let end = End::Completed { signature: Arc::from("late") };
     world.stores.get_mut(&knows).expect("a store").ends.insert(name.clone(), end);
@@ -135,9 +137,9 @@
     assert_eq!(world.withdrawn, [key]);
 }
 
-/// Guards against a permit for a message that is over, or that was given back.
+/// Guards against a permit for a message that has ended or was returned by the runner.
 #[test]
-fn what_does_not_run_gets_no_permit() {
+fn a_message_that_is_not_running_gets_no_permit() {
     let (mut world, _, key) = with_running();
     world.ran(key, completed());
     let attempt = world.request_send(key);
@@ -145,7 +147,8 @@
     assert_eq!(world.refused, [attempt]);
 }
 
-/// Guards against an end that one store alone knows for long: the others are told as soon as one fails.
+/// Guards against an end that only one store knows for long: the other stores are sent the end as soon as one store
+/// fails.
 #[test]
 fn an_end_goes_to_further_stores_when_one_fails() {
     let (mut world, name, key) = with_running();
@@ -153,7 +156,7 @@
     world.silent.insert(holders[0].clone());
     world.ran(key, completed());
     world.run_for(20 * MILLISECOND);
-    assert_eq!(world.ends(&name), 1, "the other is silent");
+    assert_eq!(world.ends(&name), 1, "the other store is silent");
     let lost = world.unanswered.pop().expect("the end to the silent store");
     assert!(matches!(lost.2, StoreRequest::Settle { .. }));
     let effects = world.queue.store_failed(world.now, lost.1);
@@ -162,7 +165,7 @@
     assert_eq!(world.ends(&name), 2);
 }
 
-/// The same where the store says nothing at all.
+/// As above, for a store that does not respond at all.
 #[test]
 fn an_end_goes_to_further_stores_when_one_is_silent() {
     let (mut world, name, key) = with_running();
@@ -173,9 +176,9 @@
     assert_eq!(world.ends(&name), 2);
 }
 
-/// Guards against a store that never hears that a claim was given up, and takes this relay for the owner for ever.
+/// Guards against a store that never learns that a claim was released, and takes this relay for the owner for ever.
 #[test]
-fn a_release_is_told_until_it_is_heard() {
+fn a_release_is_resent_until_it_is_acknowledged() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     let mut new = world.message("a", None);
@@ -193,9 +196,9 @@
     assert_eq!(released(&world), 3);
 }
 
-/// Guards against an heir that gives a message up because one store still names the former owner.
+/// Guards against a new owner that gives a message up because one store still names the former owner.
 #[test]
-fn a_store_that_missed_the_claim_takes_nothing_away() {
+fn a_store_that_missed_the_claim_does_not_prevent_sending() {
     let (mut world, name, orphan) = with_orphan();
     offer(&mut world, &orphan);
     let holders = world.holders_of(&name);
@@ -204,9 +207,10 @@
     assert_eq!(world.permits.len(), 1);
 }
 
-/// Guards against an owner that was cut off while it wrote a record, and runs what another relay has run meanwhile.
+/// Guards against an owner that was partitioned while it wrote a record, and runs a message that another relay has
+/// run meanwhile.
 #[test]
-fn a_record_that_has_moved_on_is_not_run() {
+fn a_message_claimed_by_another_relay_during_its_write_is_not_run() {
     let mut world = World::new();
     let name = MessageName::new("a", Partition::of("a"));
     world.silent.extend(world.group(&name));
@@ -222,13 +226,13 @@
     }
     assert!(world.answers.contains_key(&token));
     assert!(world.submitted.is_empty());
-    assert!(world.queue.is_empty(), "the other relay has it");
+    assert!(world.queue.is_empty(), "the other relay owns the message");
 }
 
-/// Guards against ends that are told ever more often while no store answers: the memory of a relay that is cut off grew
-/// threefold with each round.
+/// Guards against ends that are sent more and more often while no store answers: the memory of a partitioned relay
+/// grew threefold with each retry round.
 #[test]
-fn ends_are_told_at_a_steady_pace_while_no_store_answers() {
+fn ends_are_resent_at_a_constant_rate_while_no_store_answers() {
     let (mut world, name, key) = with_running();
     world.silent.extend(world.group(&name));
     world.ran(key, completed());
