--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -10,7 +10,7 @@
 use pewterseam_wire::Micros;
 use serde_bytes::ByteBuf;
 
-use crate::MOST_DATAGRAM_BYTES;
+use crate::MAX_DATAGRAM_BYTES;
 use crate::change::Effect;
 use crate::machine::Membership;
 use crate::message::{Body, Rumor};
@@ -23,7 +23,7 @@
 const EQUAL_COMPARISONS_TO_CATCH_UP: u32 = 2;
 
 /// Maximum bytes of encoded members in one datagram of an answer.
-const MAX_MEMBER_BYTES: usize = MOST_DATAGRAM_BYTES - 200;
+const MAX_MEMBER_BYTES: usize = MAX_DATAGRAM_BYTES - 200;
 
 /// Number of remembered members that are contacted at a time. It is small because many processes may start at once.
 const MAX_REMEMBERED_CONTACTS: usize = 8;
@@ -50,7 +50,7 @@
 
     /// A rumor was new: this process may have missed others too, so it schedules a comparison.
     pub(crate) fn schedule_check(&mut self, now: Micros) {
-        self.next_compare = self.next_compare.min(now + self.settings.check_period);
+        self.next_compare = self.next_compare.min(now + self.settings.check_delay);
     }
 
     /// A comparison returned members that this process lacked: it compares again soon.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -17,6 +17,6 @@
 
 pub use change::{Effect, MemberChange};
 pub use machine::Membership;
-pub use message::{MOST_DATAGRAM_BYTES, MembershipError};
+pub use message::{MAX_DATAGRAM_BYTES, MembershipError};
 pub use settings::MembershipSettings;
 pub use table::Status;
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -202,9 +202,9 @@
         if self.own.status == Status::Left {
             return effects;
         }
-        let late = now.saturating_sub(self.wake);
-        if late > self.settings.stall {
-            self.postpone_deadlines(late);
+        let delay = now.saturating_sub(self.wake);
+        if delay > self.settings.stall_threshold {
+            self.postpone_deadlines(delay);
         }
         self.probe(now, &mut effects);
         self.end_suspicions(now, &mut effects);
@@ -216,11 +216,11 @@
 
     /// This process was paused, so answers that arrived meanwhile may not have been read yet: moves its deadlines by
     /// the delay.
-    fn postpone_deadlines(&mut self, late: Micros) {
-        self.probing.postpone_deadlines(late);
+    fn postpone_deadlines(&mut self, delay: Micros) {
+        self.probing.postpone_deadlines(delay);
         for name in &self.suspects {
             if let Some(member) = self.table.get_mut(name) {
-                member.deadline += late;
+                member.deadline += delay;
             }
         }
     }
@@ -346,7 +346,7 @@
         }
         let used_bytes: usize = rumors.iter().map(|rumor| rumor.len() + 3).sum();
         let buckets = if let Body::Compare { buckets, .. } = &body { buckets.len() } else { 0 };
-        let room = crate::MOST_DATAGRAM_BYTES.saturating_sub(HEADER_BYTES + used_bytes + buckets);
+        let room = crate::MAX_DATAGRAM_BYTES.saturating_sub(HEADER_BYTES + used_bytes + buckets);
         rumors.extend(self.rumors.take(room, self.table.live_count()));
         let sender = self.own.info.name.clone();
         let datagram = Datagram { sender, life: self.own.info.life, digest: self.own.digest, body, rumors };
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -12,7 +12,7 @@
 use crate::table::Status;
 
 /// Maximum size of a datagram.
-pub const MOST_DATAGRAM_BYTES: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
 /// What one member knows about another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
 /// Why a datagram was rejected.
 #[derive(Debug)]
 pub enum MembershipError {
-    /// The datagram is longer than `MOST_DATAGRAM_BYTES`.
+    /// The datagram is longer than `MAX_DATAGRAM_BYTES`.
     TooLong(usize),
     /// The datagram cannot be decoded.
     Unreadable(FrameError),
@@ -88,7 +88,7 @@
 
 impl Datagram {
     pub(crate) fn read(bytes: &[u8]) -> Result<Self, MembershipError> {
-        if bytes.len() > MOST_DATAGRAM_BYTES {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(MembershipError::TooLong(bytes.len()));
         }
         frame::decode(bytes).map_err(MembershipError::Unreadable)
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -17,7 +17,7 @@
     /// Number of other members that are asked to probe.
     pub indirect_probes: usize,
     /// Minimum time of suspicion, for up to 20 members. It grows with the logarithm of the number of members.
-    pub suspicion: Micros,
+    pub min_suspicion: Micros,
     /// Time of suspicion of a member whose port refused a connection, which means that nothing runs there.
     pub refused_suspicion: Micros,
     /// Interval between two rounds of gossip of fresh rumors.
@@ -29,7 +29,7 @@
     /// Interval between two comparisons while the last ones found differences.
     pub catch_up_period: Micros,
     /// Delay between a new rumor and the comparison that shows whether others were missed.
-    pub check_period: Micros,
+    pub check_delay: Micros,
     /// Interval between attempts to contact seeds that are not live members, until any member has answered.
     pub join_period: Micros,
     /// The same interval once a member has answered.
@@ -37,7 +37,7 @@
     /// How long dead members are remembered.
     pub forget_after: Micros,
     /// A wake-up that is later than this shows that the process was paused: its deadlines move by the delay.
-    pub stall: Micros,
+    pub stall_threshold: Micros,
 }
 
 impl Default for MembershipSettings {
@@ -47,28 +47,28 @@
             probes_per_period: 2,
             probe_timeout: 350 * MILLISECOND,
             indirect_probes: 3,
-            suspicion: 900 * MILLISECOND,
+            min_suspicion: 900 * MILLISECOND,
             refused_suspicion: 300 * MILLISECOND,
             gossip_period: 100 * MILLISECOND,
             gossip_fanout: 3,
             compare_period: 10_000 * MILLISECOND,
             catch_up_period: 250 * MILLISECOND,
-            check_period: 1_000 * MILLISECOND,
+            check_delay: 1_000 * MILLISECOND,
             join_period: 200 * MILLISECOND,
             seed_period: 5_000 * MILLISECOND,
             forget_after: 120_000 * MILLISECOND,
-            stall: 50 * MILLISECOND,
+            stall_threshold: 50 * MILLISECOND,
         }
     }
 }
 
-/// Number of members up to which `suspicion` applies unscaled.
-const SUSPICION_MEMBERS: f64 = 20.0;
+/// Number of members up to which `min_suspicion` applies unscaled.
+const MEMBERS_AT_MIN_SUSPICION: f64 = 20.0;
 
 impl MembershipSettings {
     /// How long a member is suspected before it is declared dead.
     pub fn suspicion_for(&self, members: usize) -> Micros {
-        let factor = ((members.max(2) as f64).ln() / SUSPICION_MEMBERS.ln()).max(1.0);
-        (self.suspicion as f64 * factor) as Micros
+        let factor = ((members.max(2) as f64).ln() / MEMBERS_AT_MIN_SUSPICION.ln()).max(1.0);
+        (self.min_suspicion as f64 * factor) as Micros
     }
 }
--- a/crates/membership/tests/simulation/mod.rs
+++ b/crates/membership/tests/simulation/mod.rs
@@ -197,7 +197,7 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        assert!(bytes.len() <= pewterseam_membership::MOST_DATAGRAM_BYTES, "{} bytes", bytes.len());
+        assert!(bytes.len() <= pewterseam_membership::MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
         self.nodes[from].sent_bytes += bytes.len() as u64 + HEADER_BYTES;
         let SocketAddr::V4(v4) = to else { return };
         let octets = v4.ip().octets();
--- a/crates/queue/src/releases.rs
+++ b/crates/queue/src/releases.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Releases {
     failed: BTreeMap<StoreId, BTreeSet<MessageName>>,
-    is_retry_set: bool,
+    is_retry_scheduled: bool,
 }
 
 impl Queue {
@@ -40,8 +40,8 @@
     }
 
     fn schedule_release_retry(&mut self) {
-        if !self.releases.is_retry_set && !self.releases.failed.is_empty() {
-            self.releases.is_retry_set = true;
+        if !self.releases.is_retry_scheduled && !self.releases.failed.is_empty() {
+            self.releases.is_retry_scheduled = true;
             self.clock.set(self.now + RELEASE_RETRY_DELAY, Timer::RetryReleases);
         }
     }
@@ -49,7 +49,7 @@
     /// Sends failed releases again to the live stores. Messages that this relay owns again meanwhile are not
     /// released.
     pub(crate) fn retry_releases(&mut self) {
-        self.releases.is_retry_set = false;
+        self.releases.is_retry_scheduled = false;
         for (store, names) in std::mem::take(&mut self.releases.failed) {
             let is_given_up = |name: &MessageName| !self.by_name.contains_key(name);
             let names: Vec<MessageName> = names.into_iter().filter(is_given_up).collect();
--- a/crates/queue/src/settle.rs
+++ b/crates/queue/src/settle.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     waiting: BTreeMap<StoreId, Vec<(Option<MessageKey>, Fact)>>,
-    is_flush_set: bool,
+    is_flush_scheduled: bool,
     /// Earliest time of the next flush.
     next_flush_at: Micros,
     pub ended: RecentlyEnded,
@@ -165,14 +165,14 @@
     /// a fact known only here is lost if the process dies, and a message whose end no store knows runs again.
     pub(crate) fn queue_fact(&mut self, store: &StoreId, key: Option<MessageKey>, fact: Fact) {
         self.outbox.waiting.entry(store.clone()).or_default().push((key, fact));
-        if !self.outbox.is_flush_set {
-            self.outbox.is_flush_set = true;
+        if !self.outbox.is_flush_scheduled {
+            self.outbox.is_flush_scheduled = true;
             self.clock.set(self.outbox.next_flush_at.max(self.now), Timer::Flush);
         }
     }
 
     pub(crate) fn flush(&mut self) {
-        self.outbox.is_flush_set = false;
+        self.outbox.is_flush_scheduled = false;
         if !self.outbox.waiting.is_empty() {
             self.outbox.next_flush_at = self.now + MIN_FLUSH_INTERVAL;
         }
