--- a/crates/message-log/src/claims.rs
+++ b/crates/message-log/src/claims.rs
@@ -6,18 +6,18 @@
 
 use crate::entry::LogEntry;
 use crate::message::Message;
-use crate::persistence::Written;
+use crate::persistence::EntryKind;
 use crate::store::Store;
 
 impl Store {
-    /// The first claim of a number is granted, so that no two relays are granted the same one by a write quorum.
-    /// Danger: a claim that is forgotten over a restart lets a second relay run the message. It is synced.
+    /// Grants only the first claim with a given claim number, so that a write quorum never grants one number to two
+    /// relays. Without the sync of a granted claim, a restart could lose it and a second relay would run the message.
     pub(crate) fn claim(&mut self, token: u64, names: Vec<MessageName>, owner: &Owner, claim: u32) {
-        let mut refusal = None;
+        let mut decline_reason = None;
         let mut granted = Vec::new();
         for name in names {
-            match self.reason_to_refuse(&name, owner, claim) {
-                Some(reason) => refusal = refusal.or(Some(reason)),
+            match self.claim_decline_reason(&name, owner, claim) {
+                Some(reason) => decline_reason = decline_reason.or(Some(reason)),
                 None => granted.push(name),
             }
         }
@@ -27,16 +27,16 @@
                 self.change_owner(name, owner, claim);
             }
             let entry = LogEntry::Claimed { names: granted, owner: owner.clone(), claim };
-            ticket = entry.encode().ok().map(|entry| self.persistence.add(entry, Written::Other));
+            ticket = entry.encode().ok().map(|entry| self.persistence.add(entry, EntryKind::Other));
         }
-        match (ticket, refusal) {
+        match (ticket, decline_reason) {
             (Some(ticket), None) => self.done_after(token, ticket),
-            (_, refusal) => self.decline(token, refusal.unwrap_or(Decline::AlreadyClaimed)),
+            (_, decline_reason) => self.decline(token, decline_reason.unwrap_or(Decline::AlreadyClaimed)),
         }
     }
 
-    /// Why a claim is not granted.
-    fn reason_to_refuse(&self, name: &MessageName, owner: &Owner, claim: u32) -> Option<Decline> {
+    /// Returns why a claim must be declined, or `None` if it can be granted.
+    fn claim_decline_reason(&self, name: &MessageName, owner: &Owner, claim: u32) -> Option<Decline> {
         let Some(record) = self.messages.get(name).and_then(Message::open_record) else {
             return Some(Decline::AlreadyClaimed);
         };
@@ -47,13 +47,13 @@
         (!may_take).then_some(Decline::OwnerHoldsLease)
     }
 
-    /// Whether an owner may still be sending its messages to hosts. A process is certain to be gone once a later life
-    /// of its node is known.
+    /// Whether an owner may still be sending its messages to hosts. An owner's process has certainly ended once a later
+    /// life (process start) of its node is known.
     fn holds_lease(&self, owner: &Owner) -> bool {
         !self.owners.is_superseded(owner) && self.leases.is_held(owner, self.now.steady)
     }
 
-    /// Gives an open message an owner, unless a later one is known.
+    /// Sets the owner of an open message, unless an owner with a later claim is known.
     pub(crate) fn change_owner(&mut self, name: &MessageName, owner: &Owner, claim: u32) -> bool {
         let Some(record) = self.messages.get(name).and_then(Message::open_record) else { return false };
         if (claim, owner) <= (record.claim, &record.owner) {
@@ -65,7 +65,7 @@
     }
 
     pub(crate) fn release(&mut self, token: u64, names: Vec<MessageName>, owner: &Owner) {
-        let mut taken = Vec::new();
+        let mut released = Vec::new();
         for name in names {
             let record = self.messages.get(&name).and_then(Message::open_record);
             if !record.is_some_and(|record| record.owner == *owner && !record.is_released) {
@@ -75,11 +75,11 @@
                 record.is_released = true;
             }
             self.queue_orphan(&name);
-            taken.push(name);
+            released.push(name);
         }
-        if !taken.is_empty() {
-            let entry = LogEntry::Released { names: taken, owner: owner.clone() };
-            self.write_lazily(&entry, Written::Other);
+        if !released.is_empty() {
+            let entry = LogEntry::Released { names: released, owner: owner.clone() };
+            self.write_lazily(&entry, EntryKind::Other);
         }
         self.done(token);
     }
--- a/crates/message-log/src/cleaning.rs
+++ b/crates/message-log/src/cleaning.rs
@@ -1,7 +1,8 @@
-//! Keeps the log small: what is still needed of the oldest segment is written again at the end, then the segment goes.
+//! Log cleaning: copies the entries of the oldest segment that are still needed to the end of the log, then removes the
+//! segment.
 //!
-//! This takes the place of whole snapshots. It goes in small pieces, needs no second copy of all data on the disk, and
-//! after a loss of power at any point the log is whole, as entries may be there twice.
+//! Cleaning replaces full snapshots. It works in small batches and needs no second copy of all data on the disk. A power
+//! loss at any point leaves a valid log, because entries may occur twice.
 
 use std::collections::BTreeMap;
 
@@ -10,40 +11,40 @@
 use pewterseam_wire::record::MessageName;
 
 use crate::entry::{KeptMessage, LogEntry};
-use crate::gathering::{Job, Purpose};
+use crate::gathering::{GatherJob, Purpose};
 use crate::interface::Effect;
 use crate::message::{Message, NO_SEGMENT, NOT_WRITTEN};
-use crate::persistence::{RECOVERED_TICKET, Written};
+use crate::persistence::{EntryKind, RECOVERED_TICKET};
 use crate::store::Store;
 
-/// Messages, and bytes of their records, that are copied in one piece.
-const PIECE_MESSAGES: usize = 64;
-const PIECE_BYTES: u64 = 256 * 1024;
+/// Limits of one copied batch: the number of messages, and the bytes of their records.
+const MAX_BATCH_MESSAGES: usize = 64;
+const MAX_BATCH_BYTES: u64 = 256 * 1024;
 
-/// After a record could not be read, cleaning rests this long.
-const REST: Micros = 10_000_000;
+/// After a failed read of a record, cleaning pauses for this time.
+const READ_FAILURE_PAUSE: Micros = 10_000_000;
 
 /// The segment that is being cleaned.
 #[derive(Debug)]
 struct Cleaning {
     segment: u64,
-    /// Messages that are still to be copied.
+    /// The messages that still have to be copied.
     names: Vec<MessageName>,
-    /// The last piece; cleaning goes on when it is synced.
+    /// The ticket of the last copied batch; cleaning continues when that batch is synced.
     ticket: u64,
-    /// Records of the next piece are being read.
+    /// Whether the records of the next batch are being read.
     is_reading: bool,
 }
 
-/// What lies where in the log.
+/// The segments of the log, and which of them hold the entries that cleaning must preserve.
 #[derive(Debug, Default)]
 pub(crate) struct LogMap {
-    /// Bytes by segment.
+    /// The size in bytes of each segment.
     segments: BTreeMap<u64, u64>,
-    /// Where the noted copied sets lie.
-    copied_in: Option<u64>,
-    /// Where the newest reading of the clocks lies.
-    time_in: Option<u64>,
+    /// The segment that holds the `CopiedSet` entries.
+    copied_sets_segment: Option<u64>,
+    /// The segment that holds the newest clock reading.
+    clock_reading_segment: Option<u64>,
     cleaning: Option<Cleaning>,
     not_before: Micros,
 }
@@ -56,50 +57,55 @@
     }
 
     pub fn note_copied_set(&mut self, segment: u64) {
-        self.copied_in = Some(segment);
+        self.copied_sets_segment = Some(segment);
     }
 
-    /// Bytes of all segments.
+    /// The size of all segments together.
     pub fn bytes(&self) -> u64 {
         self.segments.values().sum()
     }
 }
 
 impl Store {
-    /// Notes where an entry of a message lies.
-    pub(crate) fn note_written(&mut self, written: &Written, position: Position) {
+    /// Updates the log map and the message after an entry was written at a position.
+    pub(crate) fn note_written(&mut self, written: &EntryKind, position: Position) {
         self.log_map.note_entry(position);
         let segment = position.segment;
         match written {
-            Written::Record(name) | Written::Copy(name) => {
-                let is_copy = matches!(written, Written::Copy(_));
+            EntryKind::Record(name) | EntryKind::Copy(name) => {
+                let is_copy = matches!(written, EntryKind::Copy(_));
                 self.messages.note_position(name, position);
                 self.messages.update(name, |message| {
-                    let holds_all = is_copy || message.needed_from == NO_SEGMENT;
-                    message.needed_from = if holds_all { segment } else { message.needed_from.min(segment) };
+                    let holds_all = is_copy || message.oldest_needed_segment == NO_SEGMENT;
+                    message.oldest_needed_segment =
+                        if holds_all { segment } else { message.oldest_needed_segment.min(segment) };
                 });
             }
-            Written::End(name) => {
+            EntryKind::End(name) => {
                 self.messages.update(name, |message| {
-                    // The end alone tells all that is left to know of a message without a record.
-                    if message.record.is_none() || message.needed_from == NO_SEGMENT {
-                        message.needed_from = segment;
+                    // For a message without a record, the entry with its end contains all that is known of it.
+                    if message.record.is_none() || message.oldest_needed_segment == NO_SEGMENT {
+                        message.oldest_needed_segment = segment;
                     }
                 });
             }
-            Written::Facts(name) => {
-                self.messages.update(name, |message| message.needed_from = message.needed_from.min(segment));
+            EntryKind::Facts(name) => {
+                self.messages.update(name, |message| {
+                    message.oldest_needed_segment = message.oldest_needed_segment.min(segment)
+                });
+            }
+            EntryKind::CopiedSet { .. } => self.log_map.note_copied_set(segment),
+            EntryKind::Time => {
+                self.log_map.clock_reading_segment = self.log_map.clock_reading_segment.max(Some(segment))
             }
-            Written::CopiedSet { .. } => self.log_map.note_copied_set(segment),
-            Written::Time => self.log_map.time_in = self.log_map.time_in.max(Some(segment)),
-            Written::Other => {}
+            EntryKind::Other => {}
         }
     }
 
-    /// Takes back that an entry was written.
-    pub(crate) fn note_failed(&mut self, written: Written, ticket: u64) {
+    /// Reverts the state that assumed that an entry would be written.
+    pub(crate) fn note_failed(&mut self, written: EntryKind, ticket: u64) {
         match written {
-            Written::Record(name) => {
+            EntryKind::Record(name) => {
                 let is_lost = self
                     .messages
                     .get(&name)
@@ -109,7 +115,7 @@
                     self.messages.drop_record(&name);
                 }
             }
-            Written::End(name) => {
+            EntryKind::End(name) => {
                 let is_lost = self.messages.update(&name, |message| {
                     let is_lost = message.end_ticket == ticket;
                     if is_lost {
@@ -121,16 +127,16 @@
                     self.unwritten_ends.push(name);
                 }
             }
-            Written::Copy(_) => {
-                // The segment is looked through again.
+            EntryKind::Copy(_) => {
+                // Cleaning of the segment starts again from the beginning.
                 self.log_map.cleaning = None;
             }
-            Written::Time => self.clock.forget_reading(),
-            Written::Facts(_) | Written::CopiedSet { .. } | Written::Other => {}
+            EntryKind::Time => self.clock.forget_reading(),
+            EntryKind::Facts(_) | EntryKind::CopiedSet { .. } | EntryKind::Other => {}
         }
     }
 
-    /// Whether the log is to be made smaller.
+    /// Whether the log holds enough dead data, or fills enough of the disk, to be cleaned.
     fn is_log_too_large(&self) -> bool {
         let bytes = self.log_map.bytes();
         let live = self.messages.live_bytes();
@@ -139,7 +145,7 @@
         is_mostly_dead || is_disk_short
     }
 
-    /// Does the next piece of cleaning, if there is one to do.
+    /// Performs the next step of cleaning, if one is due.
     pub(crate) fn clean(&mut self) {
         if self.log_map.cleaning.is_none() {
             let is_time = self.log_map.not_before <= self.now.steady && self.persistence.failed_at.is_none();
@@ -147,7 +153,7 @@
                 return;
             }
             let Some(segment) = self.log_map.segments.keys().next().copied() else { return };
-            let names = self.messages.needing(segment);
+            let names = self.messages.messages_needing(segment);
             let cleaning = Cleaning { segment, names, ticket: RECOVERED_TICKET, is_reading: false };
             self.log_map.cleaning = Some(cleaning);
         }
@@ -162,9 +168,9 @@
                 cleaning.is_reading = true;
             }
             self.gather(names, Purpose::Clean);
-        } else if self.log_map.copied_in.is_some_and(|copied_in| copied_in <= segment) {
+        } else if self.log_map.copied_sets_segment.is_some_and(|copied_in| copied_in <= segment) {
             self.copy_sets_forward();
-        } else if self.log_map.time_in.is_some_and(|time_in| time_in <= segment) {
+        } else if self.log_map.clock_reading_segment.is_some_and(|read_in| read_in <= segment) {
             self.write_time_forward();
         } else {
             self.log_map.segments.remove(&segment);
@@ -173,16 +179,16 @@
         }
     }
 
-    /// The next messages of which something lies in this segment or before and nowhere else.
+    /// Takes the next batch of messages that still need an entry in this segment or an earlier one.
     fn next_to_copy(&mut self, segment: u64) -> Vec<MessageName> {
         let mut names = Vec::new();
         let mut bytes = 0;
-        while names.len() < PIECE_MESSAGES && bytes < PIECE_BYTES {
+        while names.len() < MAX_BATCH_MESSAGES && bytes < MAX_BATCH_BYTES {
             let Some(name) = self.log_map.cleaning.as_mut().and_then(|cleaning| cleaning.names.pop()) else {
                 break;
             };
             let Some(message) = self.messages.get(&name) else { continue };
-            if message.needed_from <= segment {
+            if message.oldest_needed_segment <= segment {
                 bytes += message.log_bytes();
                 names.push(name);
             }
@@ -191,20 +197,20 @@
     }
 
     fn copy_sets_forward(&mut self) {
-        self.log_map.copied_in = None;
+        self.log_map.copied_sets_segment = None;
         self.write_copied_sets();
-        self.await_open_entries();
+        self.wait_for_open_batch();
     }
 
     fn write_time_forward(&mut self) {
-        self.log_map.time_in = None;
+        self.log_map.clock_reading_segment = None;
         self.clock.forget_reading();
         self.write_time();
-        self.await_open_entries();
+        self.wait_for_open_batch();
     }
 
-    /// Cleaning goes on once all that was gathered is synced.
-    fn await_open_entries(&mut self) {
+    /// Makes cleaning wait until all entries of the open batch are synced.
+    fn wait_for_open_batch(&mut self) {
         if let Some(cleaning) = &mut self.log_map.cleaning {
             cleaning.ticket = RECOVERED_TICKET;
             if self.persistence.has_open_entries() {
@@ -213,7 +219,7 @@
         }
     }
 
-    /// Writes which sets were copied for the placement in force.
+    /// Writes a `CopiedSet` entry for each store set that was copied under the current placement.
     pub(crate) fn write_copied_sets(&mut self) {
         for set in self.view.copied_sets() {
             self.write_copied_set(set);
@@ -223,45 +229,46 @@
     pub(crate) fn write_copied_set(&mut self, set: u64) {
         let epoch = self.view.epoch();
         if let Ok(entry) = (LogEntry::CopiedSet { set, epoch }).encode() {
-            self.persistence.add(entry, Written::CopiedSet { set, epoch });
+            self.persistence.add(entry, EntryKind::CopiedSet { set, epoch });
         }
     }
 
-    /// Writes messages whose records were gathered to the log's end.
-    pub(crate) fn copy_forward(&mut self, job: &Job) {
+    /// Writes the messages of a finished job to the end of the log.
+    pub(crate) fn copy_forward(&mut self, job: &GatherJob) {
         if let Some(cleaning) = &mut self.log_map.cleaning {
             cleaning.is_reading = false;
         }
         if job.has_failed {
             self.log_map.cleaning = None;
-            self.log_map.not_before = self.now.steady + REST;
+            self.log_map.not_before = self.now.steady + READ_FAILURE_PAUSE;
             return;
         }
         let mut ticket = RECOVERED_TICKET;
         for (name, payload) in job.names.iter().zip(&job.payloads) {
-            let Some(entry) = self.kept(name, payload.as_ref()).map(|kept| LogEntry::Message(Box::new(kept)))
+            let Some(entry) =
+                self.to_kept_message(name, payload.as_ref()).map(|kept| LogEntry::Message(Box::new(kept)))
             else {
                 continue;
             };
             let Ok(entry) = entry.encode() else { continue };
-            ticket = self.persistence.add(entry, Written::Copy(name.clone()));
+            ticket = self.persistence.add(entry, EntryKind::Copy(name.clone()));
         }
         if let Some(cleaning) = &mut self.log_map.cleaning {
             cleaning.ticket = ticket;
         }
     }
 
-    /// A message as it is to stand in the log.
-    fn kept(&self, name: &MessageName, payload: Option<&bytes::Bytes>) -> Option<KeptMessage> {
+    /// Builds the log form of a message.
+    fn to_kept_message(&self, name: &MessageName, payload: Option<&bytes::Bytes>) -> Option<KeptMessage> {
         let stored = self.stored(name, payload)?;
         let message: &Message = self.messages.get(name)?;
         let held = message.record.as_deref();
         Some(KeptMessage {
             stored,
-            taken: held.map_or(message.noted_at, |held| held.taken_at),
+            taken: held.map_or(message.noted_at, |held| held.accepted_at),
             ended: message.noted_at,
             is_released: held.is_some_and(|held| held.is_released),
-            away_before: held.map_or(0, |held| held.away_before),
+            downtime_before: held.map_or(0, |held| held.downtime_before),
         })
     }
 }
--- a/crates/message-log/src/contents.rs
+++ b/crates/message-log/src/contents.rs
@@ -1,4 +1,4 @@
-//! Hands all that is known of partitions to a store that is new to them.
+//! Answers `Pull` requests: sends everything known of some partitions to a store that has newly joined their groups.
 
 use std::collections::HashSet;
 
@@ -6,19 +6,19 @@
 use pewterseam_wire::record::MessageName;
 use pewterseam_wire::store::{Decline, StoreResponse};
 
-use crate::gathering::{Job, Purpose};
+use crate::gathering::{GatherJob, Purpose};
 use crate::message::{FACT_BYTES, Message};
-use crate::placement_view::Standing;
+use crate::placement_view::ReplicaState;
 use crate::store::Store;
 
-/// Bytes of the messages of one piece, as far as it has more than one.
-const PIECE_BYTES: u64 = 256 * 1024;
+/// The limit in bytes for one page of messages; a page always holds at least one message.
+const MAX_PAGE_BYTES: u64 = 256 * 1024;
 
 impl Store {
-    /// Answers with the next piece. The caller has seen to it that this store knows the asker's placement: from then
-    /// on, every write counts only with the asker among those written to.
+    /// Answers with the next page of messages. The caller has ensured that this store knows the placement of the
+    /// requesting store. From then on, every write quorum is counted in a group that contains the requesting store.
     pub(crate) fn pull(&mut self, token: u64, partitions: &[Partition], after: Option<&MessageName>) {
-        if partitions.iter().any(|partition| self.view.standing(*partition) != Standing::Complete) {
+        if partitions.iter().any(|partition| self.view.replica_state(*partition) != ReplicaState::Complete) {
             return self.decline(token, Decline::NotInGroup);
         }
         let wanted: HashSet<Partition> = partitions.iter().copied().collect();
@@ -29,7 +29,7 @@
             if !partition_of(name, message).is_some_and(|partition| wanted.contains(&partition)) {
                 continue;
             }
-            if bytes >= PIECE_BYTES {
+            if bytes >= MAX_PAGE_BYTES {
                 is_last = false;
                 break;
             }
@@ -39,7 +39,7 @@
         self.gather(names, Purpose::Contents { token, is_last });
     }
 
-    pub(crate) fn answer_pull(&mut self, token: u64, job: &Job, is_last: bool) {
+    pub(crate) fn answer_pull(&mut self, token: u64, job: &GatherJob, is_last: bool) {
         if job.has_failed {
             return self.decline(token, Decline::Disk);
         }
--- a/crates/message-log/src/copying.rs
+++ b/crates/message-log/src/copying.rs
@@ -1,8 +1,8 @@
-//! Copies what a store must know of partitions that are new to it.
+//! Copies to this store the messages of partitions whose groups it has newly joined.
 //!
-//! It reads from the groups of the placement's first set, as that is the set in which every durable write is: writes
-//! have gone to it since it came into force, and go to it until another set is alone. Once all but `f` stores of each
-//! such group have told all that they know, and that is synced, the store is complete.
+//! The store reads from the groups of the placement's first set, because that set contains every durable write: writes
+//! have gone to it since it took effect, and go to it until another set is the only one. The store is complete once all
+//! but `f` stores of each such group have sent everything that they know, and that data is synced.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -15,51 +15,51 @@
 use crate::persistence::RECOVERED_TICKET;
 use crate::store::Store;
 
-/// A store that has not answered is asked again after this time.
-const PATIENCE: Micros = 1_000_000;
+/// A request without a response is repeated after this time.
+const RESPONSE_TIMEOUT: Micros = 1_000_000;
 
-/// A store that declined is asked again after this time.
-const REST_AFTER_DECLINE: Micros = 250_000;
+/// A request that a store declined is repeated after this time.
+const DECLINE_RETRY_DELAY: Micros = 250_000;
 
-/// After so many failures in a row another store of the group is asked as well.
-const FAILURES_BEFORE_ANOTHER: u32 = 2;
+/// After this many consecutive failures of a store, the requests also go to another store of the group.
+const FAILURES_BEFORE_EXTRA_SOURCE: u32 = 2;
 
-/// One store's answers on some partitions.
+/// The progress of copying some partitions from one store.
 #[derive(Debug)]
 struct Source {
     store: StoreId,
     partitions: Vec<Partition>,
     after: Option<MessageName>,
     is_done: bool,
-    /// The token of the request that is on its way, and when it was sent.
+    /// The token of the outstanding request, and when it was sent.
     request: Option<(u64, Micros)>,
     not_before: Micros,
     failures: u32,
-    /// What the last piece brought is written with this ticket.
+    /// The write ticket of the messages of the last page.
     ticket: u64,
 }
 
-/// The copying for one placement.
+/// The state of copying for one placement.
 #[derive(Debug)]
 pub(crate) struct Copying {
     epoch: PlacementEpoch,
     set: u64,
     partitions: Vec<Partition>,
     sources: Vec<Source>,
-    /// Stores that have told all, by partition.
+    /// The stores that have sent everything they know, by partition.
     answered: HashMap<Partition, BTreeSet<StoreId>>,
-    /// Everything was read; the note of it is being written.
-    is_noted: bool,
+    /// Whether everything was read and the `CopiedSet` entry is being written.
+    is_completion_written: bool,
 }
 
 impl Copying {
-    /// When there is something to do without an answer.
+    /// When the next request or timeout is due.
     pub fn due(&self) -> Option<Micros> {
-        let open = self.sources.iter().filter(|source| !source.is_done && !self.is_noted);
-        open.map(|source| source.request.map_or(source.not_before, |(_, sent)| sent + PATIENCE)).min()
+        let open = self.sources.iter().filter(|source| !source.is_done && !self.is_completion_written);
+        open.map(|source| source.request.map_or(source.not_before, |(_, sent)| sent + RESPONSE_TIMEOUT)).min()
     }
 
-    /// Adds sources for the partitions that still lack answers, at most one further store for each.
+    /// Adds source stores for each partition until it has the wanted number.
     fn add_sources(
         &mut self, candidates: &HashMap<Partition, Vec<StoreId>>, wanted: &HashMap<Partition, usize>,
     ) {
@@ -91,7 +91,8 @@
 }
 
 impl Store {
-    /// Starts copying what the placement in force asks of this store. Where that is nothing, says so.
+    /// Starts copying the partitions that the current placement requires of this store. If there are none, reports the
+    /// copying as finished.
     pub(crate) fn start_copying(&mut self) {
         self.copying = None;
         let Some(set) = self.view.target_hash().filter(|_| self.view.is_joining()) else { return };
@@ -106,13 +107,13 @@
             partitions,
             sources: Vec::new(),
             answered: HashMap::new(),
-            is_noted: false,
+            is_completion_written: false,
         });
         self.choose_sources();
     }
 
-    /// Chooses the stores to read from: for each partition as many of its group as make a read, live ones first, and
-    /// one more for each that fails.
+    /// Chooses the stores to read from: for each partition a read quorum of its group, live stores first, and one more
+    /// store for each one that fails.
     fn choose_sources(&mut self) {
         let Some(copying) = &mut self.copying else { return };
         let live = self.owners.live_stores();
@@ -121,7 +122,7 @@
         for partition in &copying.partitions {
             let Some(group) = self.view.placement().groups(*partition).into_iter().next() else { continue };
             let failing = copying.sources.iter().filter(|source| {
-                source.failures >= FAILURES_BEFORE_ANOTHER && source.partitions.contains(partition)
+                source.failures >= FAILURES_BEFORE_EXTRA_SOURCE && source.partitions.contains(partition)
             });
             wanted.insert(*partition, group.read_quorum() + failing.count());
             let mut stores = group.stores;
@@ -131,29 +132,29 @@
         copying.add_sources(&candidates, &wanted);
     }
 
-    /// Asks for the next pieces: at most one of each store at a time.
-    pub(crate) fn drive_copying(&mut self) {
+    /// Handles timeouts and requests the next pages; each store has at most one outstanding request.
+    pub(crate) fn advance_copying(&mut self) {
         let now = self.now.steady;
         let Some(copying) = &mut self.copying else { return };
-        if copying.is_noted {
+        if copying.is_completion_written {
             return;
         }
         let mut has_failing = false;
         for source in &mut copying.sources {
-            if source.request.is_some_and(|(_, sent)| sent + PATIENCE <= now) {
+            if source.request.is_some_and(|(_, sent)| sent + RESPONSE_TIMEOUT <= now) {
                 source.request = None;
                 source.failures += 1;
-                has_failing |= source.failures == FAILURES_BEFORE_ANOTHER;
+                has_failing |= source.failures == FAILURES_BEFORE_EXTRA_SOURCE;
             }
         }
         if has_failing {
             self.choose_sources();
         }
-        self.ask_sources();
+        self.send_pull_requests();
         self.finish_copying();
     }
 
-    fn ask_sources(&mut self) {
+    fn send_pull_requests(&mut self) {
         let now = self.now.steady;
         let Some(copying) = &mut self.copying else { return };
         let mut busy: BTreeSet<StoreId> = copying
@@ -178,24 +179,24 @@
         }
     }
 
-    /// Notes that everything was copied once enough stores have told all.
+    /// Writes the `CopiedSet` entry once a read quorum of each group has sent everything it knows.
     fn finish_copying(&mut self) {
         let Some(copying) = &mut self.copying else { return };
         let placement = self.view.placement();
-        let nobody = BTreeSet::new();
+        let no_stores = BTreeSet::new();
         let is_read = copying.partitions.iter().all(|partition| {
-            let answered = copying.answered.get(partition).unwrap_or(&nobody);
+            let answered = copying.answered.get(partition).unwrap_or(&no_stores);
             placement.groups(*partition).first().is_some_and(|group| group.is_read(answered))
         });
         if is_read {
-            copying.is_noted = true;
+            copying.is_completion_written = true;
             let set = copying.set;
-            // It is written after all that was copied, so it is synced after it.
+            // This entry is written after all copied messages, so it is synced after them.
             self.write_copied_set(set);
         }
     }
 
-    /// The note that a set was copied is synced.
+    /// Marks a set as copied after its `CopiedSet` entry was synced.
     pub(crate) fn note_copied_set(&mut self, set: u64, epoch: PlacementEpoch) {
         self.view.note_copied(set, epoch);
         if self.copying.as_ref().is_some_and(|copying| copying.set == set && copying.epoch == epoch) {
@@ -204,24 +205,24 @@
         }
     }
 
-    /// Takes another store's answer: a piece, or to facts that were passed on.
-    pub(crate) fn take_pull_answer(&mut self, token: u64, response: Option<StoreResponse>) {
-        if !self.late_facts_answered(token, response.as_ref()) {
-            self.take_piece(token, response);
+    /// Handles another store's response, either to forwarded facts or to a `Pull` request.
+    pub(crate) fn handle_pull_response(&mut self, token: u64, response: Option<StoreResponse>) {
+        if !self.handle_late_facts_response(token, response.as_ref()) {
+            self.handle_page(token, response);
         }
     }
 
-    fn take_piece(&mut self, token: u64, response: Option<StoreResponse>) {
+    fn handle_page(&mut self, token: u64, response: Option<StoreResponse>) {
         let now = self.now.steady;
         let Some(copying) = &mut self.copying else { return };
-        let is_it = |source: &Source| source.request.is_some_and(|(sent, _)| sent == token);
-        let Some(index) = copying.sources.iter().position(is_it) else { return };
+        let is_awaited = |source: &Source| source.request.is_some_and(|(sent, _)| sent == token);
+        let Some(index) = copying.sources.iter().position(is_awaited) else { return };
         let source = &mut copying.sources[index];
         source.request = None;
         let Some(StoreResponse::Contents { messages, is_last, .. }) = response else {
             source.failures += 1;
-            source.not_before = now + REST_AFTER_DECLINE;
-            if source.failures == FAILURES_BEFORE_ANOTHER {
+            source.not_before = now + DECLINE_RETRY_DELAY;
+            if source.failures == FAILURES_BEFORE_EXTRA_SOURCE {
                 self.choose_sources();
             }
             return;
@@ -238,11 +239,11 @@
         for message in messages {
             self.merge(message);
         }
-        self.settle_ticket_of(index);
+        self.clear_ticket_without_writes(index);
     }
 
-    /// A piece that brought nothing new has nothing to wait for.
-    fn settle_ticket_of(&mut self, index: usize) {
+    /// Resets the ticket of a source if its page brought nothing new, because then there is no write to wait for.
+    fn clear_ticket_without_writes(&mut self, index: usize) {
         let has_entries = self.persistence.has_open_entries();
         if let Some(copying) = &mut self.copying
             && let Some(source) = copying.sources.get_mut(index)
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Adds what another store knows of a message.
+    /// Merges another store's state of a message into this store's state.
     fn merge(&mut self, mut stored: StoredMessage) {
         let name = stored.name.clone();
         if let Some(end) = &stored.end {
--- a/crates/message-log/src/entry.rs
+++ b/crates/message-log/src/entry.rs
@@ -1,7 +1,7 @@
 //! The entries of a store's log.
 //!
-//! Entries may be applied in any order and more than once: what a store knows is their union. The field and variant
-//! names are short, as they are written out; they must not change. Times are those of the log's clock.
+//! Entries may be applied in any order and more than once: the state of a store is their union. The serialized variant
+//! names are short because they are part of every entry on disk; they must not change. Times are those of the log clock.
 
 use bytes::Bytes;
 use pewterseam_wire::WallMicros;
@@ -14,10 +14,9 @@
 
 use crate::message::Moment;
 
-/// One entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum LogEntry {
-    /// All that was known of a message.
+    /// Everything that was known of a message when the entry was written.
     #[serde(rename = "m")]
     Message(Box<KeptMessage>),
     #[serde(rename = "e")]
@@ -28,29 +27,29 @@
     Claimed { names: Vec<MessageName>, owner: Owner, claim: u32 },
     #[serde(rename = "r")]
     Released { names: Vec<MessageName>, owner: Owner },
-    /// The store holds all that members of this set of stores must, under the placement of this epoch.
+    /// The store holds everything that members of this set of stores must hold under the placement of this epoch.
     #[serde(rename = "s")]
     CopiedSet { set: u64, epoch: PlacementEpoch },
-    /// Nothing; written to find out whether the disk takes entries again.
+    /// An entry without content, written to test whether the disk accepts entries again.
     #[serde(rename = "p")]
     Probe,
-    /// The log's clock and the time of day at one moment.
+    /// The log clock and the time of day (wall clock) at one moment.
     #[serde(rename = "t")]
     Time { at: Moment, wall: WallMicros, away: Moment },
 }
 
-/// A message with what a store alone knows of it.
+/// A message with the state that is local to this store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct KeptMessage {
     pub stored: StoredMessage,
-    /// When this store took the record, or first heard of the message.
+    /// When this store accepted the record, or first learned of the message.
     pub taken: Moment,
-    /// When this store learnt of the end; only meant where there is one.
+    /// When this store learned of the end; meaningless for a message without an end.
     pub ended: Moment,
     pub is_released: bool,
-    /// Where the clock's count of times away stood when the record was taken.
-    #[serde(default)]
-    pub away_before: Moment,
+    /// The log clock's uncounted downtime when the record was accepted.
+    #[serde(default, rename = "away_before")]
+    pub downtime_before: Moment,
 }
 
 impl LogEntry {
--- a/crates/message-log/src/expiry.rs
+++ b/crates/message-log/src/expiry.rs
@@ -1,11 +1,12 @@
-//! When records are over, and how long ends are remembered.
+//! When records expire, and how long ends of messages are remembered.
 //!
-//! An end is told until a write quorum has it. A store that was away then keeps the record open; it learns the end from
-//! the others when it is asked or offers the record. So an end must be remembered for as long as any store may hold the
-//! record open, and no longer than that a record may be open: each store ends by itself what is older than its `retentionS`.
+//! An end is sent until a write quorum has it. A store that was down then keeps the record open; it learns the end from
+//! the other stores when it receives a request or offers the record. So an end must be remembered for as long as any
+//! store may hold the record open. That time is bounded, because each store expires records older than their
+//! `retentionS` by itself.
 //!
-//! Danger: where ends are forgotten first, the record is offered to a relay of which no store knows an end, and a message
-//! that has succeeded runs again.
+//! If ends were forgotten earlier, a store could offer a record to a relay while no store knows its end, and a message
+//! that has succeeded would run again.
 
 use pewterseam_wire::Micros;
 use pewterseam_wire::record::{End, MessageName, Record};
@@ -14,105 +15,107 @@
 use crate::message::{HeldRecord, Message, Moment};
 use crate::store::Store;
 
-/// How often open records are looked through.
+/// How often open records are checked for expiry.
 const EXPIRY_PERIOD: Micros = 5_000_000;
-/// A relay that was offered a record needs this time to take it over.
-const TAKE_OVER_TIME: Micros = 5_000_000;
-/// Where memory is short ([`StoreSettings::remembered_ends`](crate::StoreSettings)), ends are not remembered for longer, or
-/// for `statusTtlS` if that is more.
-const LONGEST_MEMORY: Micros = 600_000_000;
-/// Longer than any record is kept.
+/// The time that a relay needs to take over a record that it was offered.
+const MAX_TAKEOVER_TIME: Micros = 5_000_000;
+/// Once the limit of [`StoreSettings::remembered_ends`](crate::StoreSettings) is reached, ends are remembered for at most
+/// this time, or for `statusTtlS` if that is longer.
+const MAX_RETENTION_WHEN_FULL: Micros = 600_000_000;
+/// A time span longer than any retention.
 const NO_LIMIT: Moment = Moment::MAX / 4;
 const MILLISECOND: Micros = 1_000;
 
-/// A span that was told in milliseconds.
-pub(crate) fn age(milliseconds: u64) -> Moment {
+/// Converts a time span in milliseconds to the unit of the log clock.
+pub(crate) fn span_from_ms(milliseconds: u64) -> Moment {
     milliseconds.saturating_mul(MILLISECOND).min(Moment::MAX as u64 / 4) as Moment
 }
 
-/// How long ends are remembered: for `statusTtlS`, and until no store holds the record open. One that does may take the
-/// record for younger than it is, by as much as the time of day may be wrong.
+/// How long ends are remembered: for `statusTtlS`, and until no store holds the record open. Such a store may
+/// underestimate the age of the record by as much as the time of day may be wrong.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Memory {
+pub(crate) struct EndRetention {
     /// `statusTtlS`.
     pub status_ttl: Moment,
-    /// How long after a record is over by this store's clock another one may have a relay take it over.
-    slack: Moment,
-    /// How long after an end was noted a record may be open that was never here.
-    unknown: Moment,
-    /// No end is remembered for longer.
-    longest: Moment,
+    /// How long after a record has expired by this store's clock another store may still offer it to a relay.
+    takeover_margin: Moment,
+    /// How long after an end was learned another store may hold the record open, if this store never had the record.
+    unknown_record_span: Moment,
+    /// No end is remembered for longer than this, apart from `status_ttl`.
+    max_span: Moment,
 }
 
-impl Memory {
-    /// When the end of a message is forgotten.
-    pub fn ends_of(&self, message: &Message) -> Moment {
+impl EndRetention {
+    /// When the end of a message may be forgotten.
+    pub fn forget_at(&self, message: &Message) -> Moment {
         let noted_at = message.noted_at;
-        let needed = message.expires_at.map_or(noted_at + self.unknown, |expires_at| expires_at + self.slack);
-        needed.min(noted_at + self.longest).max(noted_at + self.status_ttl)
+        let needed = message
+            .expires_at
+            .map_or(noted_at + self.unknown_record_span, |expires_at| expires_at + self.takeover_margin);
+        needed.min(noted_at + self.max_span).max(noted_at + self.status_ttl)
     }
 }
 
 impl Store {
-    /// From when on a record is over, of whose age this much time away is not counted. By then its owner, whose clock may
-    /// differ, has given it up.
-    pub(crate) fn expiry_of(&mut self, record: &Record, taken_at: Moment, away: Moment) -> Moment {
-        let retention = age(record.retention_ms);
+    /// When a record expires whose age leaves out this much downtime. By then its owner has given the record up, even if
+    /// the owner's clock differs.
+    pub(crate) fn expiry_of(&mut self, record: &Record, accepted_at: Moment, downtime: Moment) -> Moment {
+        let retention = span_from_ms(record.retention_ms);
         self.longest_retention = self.longest_retention.max(retention);
-        taken_at - away + retention + (RETENTION_MARGIN + self.settings.clock_error) as Moment
+        accepted_at - downtime + retention + (RETENTION_MARGIN + self.settings.clock_error) as Moment
     }
 
-    /// Brings the ends of all records forward by the times away that are not counted in their ages.
-    pub(crate) fn expire_by_times_away(&mut self) {
-        let away = self.clock.away();
+    /// Makes all records expire earlier by the downtime that their ages leave out.
+    pub(crate) fn subtract_uncounted_downtime(&mut self) {
+        let downtime = self.clock.uncounted_downtime();
         self.messages.update_all(|message| {
             if let (Some(record), Some(expires_at)) = (&message.record, &mut message.expires_at) {
-                *expires_at -= away - record.away_before;
+                *expires_at -= downtime - record.downtime_before;
             }
         });
     }
 
-    /// How long the stores of a record were away that its age does not count, by the time of day.
-    pub(crate) fn away_ms(&self, held: &HeldRecord) -> u64 {
-        (self.clock.away() - held.away_before).max(0) as u64 / MILLISECOND
+    /// The downtime of the record's stores that its age leaves out, as measured by the time of day.
+    pub(crate) fn uncounted_downtime_ms(&self, held: &HeldRecord) -> u64 {
+        (self.clock.uncounted_downtime() - held.downtime_before).max(0) as u64 / MILLISECOND
     }
 
-    /// How long ago the first store took a record, at the least.
+    /// A lower bound of the time since the first store accepted a record.
     pub(crate) fn age_ms(&self, held: &HeldRecord) -> u64 {
-        (self.moment() - held.taken_at).max(0) as u64 / MILLISECOND
+        (self.moment() - held.accepted_at).max(0) as u64 / MILLISECOND
     }
 
-    /// How long ends are remembered.
-    pub(crate) fn memory(&self) -> Memory {
-        let slack = self.settings.clock_error + EXPIRY_PERIOD + TAKE_OVER_TIME;
-        let unknown =
-            self.longest_retention + (RETENTION_MARGIN + self.settings.clock_error + slack) as Moment;
+    /// The current limits on how long ends are remembered.
+    pub(crate) fn end_retention(&self) -> EndRetention {
+        let takeover_margin = self.settings.clock_error + EXPIRY_PERIOD + MAX_TAKEOVER_TIME;
+        let unknown_record_span = self.longest_retention
+            + (RETENTION_MARGIN + self.settings.clock_error + takeover_margin) as Moment;
         let status_ttl = self.settings.status_ttl as Moment;
         let has_room = self.messages.remembered_count() < self.settings.remembered_ends;
-        let longest = if has_room { NO_LIMIT } else { status_ttl.max(LONGEST_MEMORY as Moment) };
-        Memory { status_ttl, slack: slack as Moment, unknown, longest }
+        let max_span = if has_room { NO_LIMIT } else { status_ttl.max(MAX_RETENTION_WHEN_FULL as Moment) };
+        EndRetention { status_ttl, takeover_margin: takeover_margin as Moment, unknown_record_span, max_span }
     }
 
-    /// When open records are looked through next.
+    /// When open records are checked for expiry next.
     pub(crate) fn expiry_due(&self) -> Option<Micros> {
-        (!self.messages.by_owner.is_empty()).then_some(self.expired_at + EXPIRY_PERIOD)
+        (!self.messages.by_owner.is_empty()).then_some(self.last_expiry_check + EXPIRY_PERIOD)
     }
 
-    /// Ends the records that are over.
+    /// Ends the records that have expired.
     pub(crate) fn expire_records(&mut self) {
         if self.expiry_due().is_none_or(|due| due > self.now.steady) {
             return;
         }
-        self.expired_at = self.now.steady;
+        self.last_expiry_check = self.now.steady;
         let now = self.moment();
-        let is_over = |name: &&MessageName| {
+        let is_expired = |name: &&MessageName| {
             let message = self.messages.get(name).filter(|message| message.is_open());
             message.and_then(|message| message.expires_at).is_some_and(|expires_at| expires_at <= now)
         };
         let open = self.messages.by_owner.values().flat_map(|owned| &owned.names);
-        let mut over: Vec<MessageName> = open.filter(is_over).cloned().collect();
-        over.sort();
-        for name in over {
+        let mut expired: Vec<MessageName> = open.filter(is_expired).cloned().collect();
+        expired.sort();
+        for name in expired {
             self.note_end(&name, End::Expired);
         }
     }
--- a/crates/message-log/src/gathering.rs
+++ b/crates/message-log/src/gathering.rs
@@ -1,4 +1,4 @@
-//! Records that are needed with their bodies: from memory, or read back from the log.
+//! Gathers records with their bodies, from memory or by reading them back from the log.
 
 use std::collections::HashMap;
 
@@ -11,43 +11,43 @@
 use crate::interface::Effect;
 use crate::store::Store;
 
-/// What the records are for.
+/// What gathered records are used for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
     /// To answer a `Fetch`.
     Fetch { token: u64 },
-    /// To offer them to an heir.
-    Offer { heir: NodeName },
+    /// To offer them to a relay that is to take them over.
+    Offer { relay: NodeName },
     /// To answer a `Pull`.
     Contents { token: u64, is_last: bool },
-    /// To write them to the log's end.
+    /// To copy them to the end of the log.
     Clean,
 }
 
-/// Messages whose records are gathered.
+/// A set of messages whose records are being gathered.
 #[derive(Debug)]
-pub(crate) struct Job {
+pub(crate) struct GatherJob {
     pub purpose: Purpose,
     pub names: Vec<MessageName>,
-    /// By name in order: the entry with the record.
+    /// The log entry with the record of each message, in the order of `names`.
     pub payloads: Vec<Option<Bytes>>,
     missing: usize,
-    /// A record could not be read.
+    /// Whether reading a record has failed.
     pub has_failed: bool,
 }
 
-/// The jobs that wait for records.
+/// The jobs that wait for records to be read.
 #[derive(Debug, Default)]
 pub(crate) struct Gathering {
-    jobs: HashMap<u64, Job>,
-    /// By the token of the read: the job and the place of the message in it.
+    jobs: HashMap<u64, GatherJob>,
+    /// The job, and the index of the message in it, by the token of the read.
     reads: HashMap<u64, (u64, usize)>,
     last_number: u64,
 }
 
 impl Store {
-    /// Gathers the records of messages; messages without one are left without. Goes on at once where all are in
-    /// memory, and otherwise when the last one was read back.
+    /// Gathers the records of messages; a message without a record gets no payload. The job finishes at once if all
+    /// records are in memory, and otherwise when the last one was read back.
     pub(crate) fn gather(&mut self, names: Vec<MessageName>, purpose: Purpose) {
         let mut payloads = Vec::with_capacity(names.len());
         let mut reads = Vec::new();
@@ -61,7 +61,7 @@
                 reads.push((index, position));
             }
         }
-        let job = Job { purpose, names, payloads, missing: reads.len(), has_failed: false };
+        let job = GatherJob { purpose, names, payloads, missing: reads.len(), has_failed: false };
         if reads.is_empty() {
             return self.finish_job(job);
         }
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Takes an entry that was read back.
-    pub(crate) fn take_read(&mut self, token: u64, payload: Option<Bytes>) {
+    /// Handles an entry that was read back from the log.
+    pub(crate) fn handle_read(&mut self, token: u64, payload: Option<Bytes>) {
         let Some((number, index)) = self.gathering.reads.remove(&token) else { return };
         let Some(job) = self.gathering.jobs.get_mut(&number) else { return };
         job.missing -= 1;
         job.has_failed |= payload.is_none();
-        if let Some(place) = job.payloads.get_mut(index) {
-            *place = payload;
+        if let Some(slot) = job.payloads.get_mut(index) {
+            *slot = payload;
         }
         if job.missing == 0
             && let Some(job) = self.gathering.jobs.remove(&number)
@@ -93,16 +93,16 @@
         }
     }
 
-    fn finish_job(&mut self, job: Job) {
+    fn finish_job(&mut self, job: GatherJob) {
         match job.purpose.clone() {
             Purpose::Fetch { token } => self.answer_fetch(token, &job),
-            Purpose::Offer { heir } => self.offer(&heir, &job),
+            Purpose::Offer { relay } => self.offer(&relay, &job),
             Purpose::Contents { token, is_last } => self.answer_pull(token, &job, is_last),
             Purpose::Clean => self.copy_forward(&job),
         }
     }
 
-    /// A message as it is now, with the record of an entry.
+    /// The current state of a message, with the record decoded from a log entry.
     pub(crate) fn stored(&self, name: &MessageName, payload: Option<&Bytes>) -> Option<StoredMessage> {
         let message = self.messages.get(name)?;
         let held = message.record.as_deref();
@@ -118,7 +118,7 @@
             failures: message.failures,
             end: message.end.clone(),
             age_ms: held.map_or(0, |held| self.age_ms(held)),
-            away_ms: held.map_or(0, |held| self.away_ms(held)),
+            away_ms: held.map_or(0, |held| self.uncounted_downtime_ms(held)),
         })
     }
 }
--- a/crates/message-log/src/interface.rs
+++ b/crates/message-log/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the store's state machine and what comes out of it.
+//! The inputs and effects (outputs) of the store's state machine, and its settings.
 
 use std::sync::Arc;
 
@@ -9,44 +9,44 @@
 use pewterseam_wire::store::{StoreNotice, StoreRequest, StoreResponse};
 use pewterseam_wire::{Micros, WallMicros};
 
-/// The time at a step.
+/// The current time, passed to each step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// The steady clock: all spans are measured by it.
+    /// The monotonic clock, which measures all time spans.
     pub steady: Micros,
-    /// The time of day: only used to tell ages over a restart.
+    /// The time of day (wall clock), used only to determine ages across a restart.
     pub wall: WallMicros,
 }
 
-/// How far the time of day may be wrong where settings do not say.
+/// The default bound on the error of the time of day.
 const CLOCK_ERROR: Micros = 20_000_000;
 
-/// Ends that are remembered for the sake of their records, where settings do not say; they take some 25 MB.
+/// The default number of ends that are remembered beyond `status_ttl`; they take about 25 MB of memory.
 const REMEMBERED_ENDS: usize = 100_000;
 
-/// How a store is kept.
+/// The settings of a store.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
     pub id: StoreId,
-    /// How long the end of a message, and the body of a dead one, is kept.
+    /// How long the end of a message, and the body of a dead message, is kept.
     pub status_ttl: Micros,
-    /// How far the time of day may be wrong: over a restart, ages of messages go by it.
+    /// The bound on the error of the time of day, which determines the ages of messages across a restart.
     pub clock_error: Micros,
-    /// Bytes of open messages that stay in memory; the rest is read back from the log.
+    /// The limit in bytes for open messages in memory; other messages are read back from the log.
     pub memory_bytes: usize,
-    /// Ends that are remembered beyond `status_ttl`, for as long as a record of theirs may be open. Once there are so many,
-    /// further ones are remembered for 600 s at the most.
+    /// The number of ends that are remembered beyond `status_ttl`, for as long as a store may hold their records open.
+    /// Once this limit is reached, further ends are remembered for at most 600 s.
     pub remembered_ends: usize,
-    /// Bytes that the log may take on the disk.
+    /// The limit in bytes for the log on disk.
     pub disk_bytes: u64,
-    /// Bytes that may wait for the disk before appends are declined as `Busy`.
+    /// The limit in bytes for unsynced entries; above it, appends are declined as `Busy`.
     pub waiting_bytes: usize,
     /// The log is cleaned only when it is larger than this.
     pub clean_above_bytes: u64,
 }
 
 impl StoreSettings {
-    /// Settings for a disk of a size, with the usual values for the rest.
+    /// Creates settings for a disk of the given size, with default values for the rest.
     pub fn new(id: StoreId, status_ttl: Micros, disk_bytes: u64) -> Self {
         StoreSettings {
             id,
@@ -61,54 +61,54 @@
     }
 }
 
-/// What membership knows.
+/// The state of cluster membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
-    /// Relays and stores that live.
+    /// The live relays and stores.
     pub live: Vec<NodeInfo>,
-    /// Lives that are over: the node died, left, or has since started again. Those of which nobody knows any more may
-    /// be missing.
+    /// The process lives that have ended: the node died, left, or has started again since. Lives that no member
+    /// remembers may be missing.
     pub ended: Vec<Owner>,
 }
 
-/// What happens to a store.
+/// An input of the store's state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A request came; its answer carries the same token.
+    /// A request has arrived; the response carries the same token.
     Request { token: u64, request: StoreRequest },
-    /// The placement in force. An older one than the store's is ignored.
+    /// The current placement. A placement older than the store's is ignored.
     Placement(Arc<Placement>),
-    /// The members in force.
+    /// The current members.
     Members(Members),
-    /// All tickets up to this one are synced; where the entries of those not told of before lie, in order.
+    /// All tickets up to this one are synced. The positions are those of the entries not reported before, in order.
     Persisted { through: u64, positions: Vec<Position> },
-    /// All tickets up to this one that were not told of before have failed.
+    /// All tickets up to this one that were not reported before have failed.
     PersistFailed { through: u64 },
-    /// An entry that was read back, or none if it could not be read.
+    /// An entry that was read back, or `None` if it could not be read.
     ReadBack { token: u64, payload: Option<Bytes> },
-    /// The answer to a request to another store, or none if none came.
+    /// The response of another store, or `None` if none came.
     PullAnswered { token: u64, response: Option<StoreResponse> },
     /// Time has passed.
     Tick,
 }
 
-/// What the driver is to do.
+/// An action that the driver must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Answer a request.
+    /// Send the response to a request.
     Respond { token: u64, response: StoreResponse },
-    /// Tell a relay; it may get lost.
+    /// Send a notice to a relay, without guaranteed delivery.
     Notify { to: NodeName, notice: StoreNotice },
-    /// Append entries to the log and sync them. Tickets rise by one.
+    /// Append entries to the log and sync them. Each ticket is one greater than the previous one.
     Persist { ticket: u64, entries: Vec<Bytes> },
     /// Read an entry of the log.
     ReadBack { token: u64, position: Position },
-    /// Remove the segments with lower numbers; they hold nothing that is still needed.
+    /// Remove the segments with numbers below this one, which hold nothing that is still needed.
     RemoveSegments { before: u64 },
     /// Send a request to another store.
     SendPull { to: StoreId, token: u64, request: StoreRequest },
-    /// All that this store has to know for this placement is copied and synced.
+    /// Everything that this store must hold under this placement is copied and synced.
     Copied { epoch: PlacementEpoch },
-    /// Come with [`Input::Tick`] at this time at the latest. Replaces earlier ones.
+    /// Pass [`Input::Tick`] at this time at the latest. Replaces earlier `WakeAt` effects.
     WakeAt(Micros),
 }
--- a/crates/message-log/src/late_facts.rs
+++ b/crates/message-log/src/late_facts.rs
@@ -1,9 +1,9 @@
-//! Facts for stores that may have copied a message's group before these facts came.
+//! Forwards facts to stores that may have copied a message's group before these facts arrived.
 //!
-//! A relay that knows the older placement alone tells facts to the older group alone. A store of that group passes them
-//! on to the stores that are new to it, until these have them: an end that `f + 1` of the older group have acknowledged
-//! must be known to a read quorum of the next one, also where the store that left was among them. Where the move is over by
-//! then, the store that left passes the end on to the whole group.
+//! A relay that knows only the older placement sends facts only to the older group. A store of that group forwards them
+//! to the stores that have joined, until those acknowledge them: an end that `f + 1` stores of the older group have
+//! acknowledged must be known to a read quorum of the next group, even if the store that left was among the `f + 1`. If
+//! the move has finished by then, the store that left forwards the end to the whole group.
 
 use std::collections::BTreeMap;
 
@@ -13,25 +13,25 @@
 use pewterseam_wire::store::{StoreRequest, StoreResponse};
 
 use crate::interface::Effect;
-use crate::placement_view::Standing;
+use crate::placement_view::ReplicaState;
 use crate::store::Store;
 
-/// Facts without an answer are taken for unheard after this time.
-const PATIENCE: Micros = 1_000_000;
+/// Facts without a response count as unacknowledged after this time.
+const RESPONSE_TIMEOUT: Micros = 1_000_000;
 
-/// Unheard facts are told again after this time.
-const PAUSE: Micros = 250_000;
+/// Unacknowledged facts are sent again after this time.
+const RETRY_DELAY: Micros = 250_000;
 
-/// Facts in one request that tells them again.
-const MOST_IN_REQUEST: usize = 256;
+/// The maximum number of facts in one request that sends them again.
+const MAX_FACTS_PER_REQUEST: usize = 256;
 
-/// Requests that tell one store facts again at a time; the rest waits until these are heard.
-const MOST_REQUESTS: usize = 8;
+/// The maximum number of repeated requests to one store at a time; the other facts wait until these are acknowledged.
+const MAX_RETRY_REQUESTS: usize = 8;
 
-/// Facts that are kept for being told again. Those beyond are told once.
-const MOST_KEPT: usize = 65_536;
+/// The maximum number of facts that are buffered for retries. Facts beyond it are sent only once.
+const MAX_BUFFERED_FACTS: usize = 65_536;
 
-/// Facts on their way to a store.
+/// A request with facts that was sent to a store.
 #[derive(Debug)]
 struct Sent {
     to: StoreId,
@@ -39,112 +39,113 @@
     sent_at: Micros,
 }
 
-/// What stores that are new to a group have yet to hear.
+/// The facts that newly joined stores have not acknowledged yet.
 #[derive(Debug, Default)]
 pub(crate) struct LateFacts {
-    /// By the token of the request, and so in the order of sending.
-    on_their_way: BTreeMap<u64, Sent>,
-    unheard: BTreeMap<StoreId, Vec<Fact>>,
-    tell_again_at: Option<Micros>,
-    /// Facts in both.
-    kept: usize,
+    /// The outstanding requests by token, and so in the order of sending.
+    in_flight: BTreeMap<u64, Sent>,
+    unacknowledged: BTreeMap<StoreId, Vec<Fact>>,
+    retry_at: Option<Micros>,
+    /// The number of facts in `in_flight` and `unacknowledged`.
+    buffered_count: usize,
 }
 
 impl LateFacts {
-    /// When facts are to be taken for unheard, or to be told again.
+    /// When the next request times out or the next retry is due.
     pub fn due(&self) -> Option<Micros> {
-        let silent = self.on_their_way.values().next().map(|sent| sent.sent_at + PATIENCE);
-        silent.into_iter().chain(self.tell_again_at).min()
+        let timeout = self.in_flight.values().next().map(|sent| sent.sent_at + RESPONSE_TIMEOUT);
+        timeout.into_iter().chain(self.retry_at).min()
     }
 
-    /// Forgets what is for stores that are not in the placement: nobody reads from them.
-    pub fn keep_those_in(&mut self, placement: &Placement) {
+    /// Drops the facts for stores that are not in the placement, because no reads go to those stores.
+    pub fn retain_stores_in(&mut self, placement: &Placement) {
         let is_in = |store: &StoreId| placement.sets.iter().flatten().any(|entry| entry.id == *store);
-        self.on_their_way.retain(|_, sent| is_in(&sent.to));
-        self.unheard.retain(|store, _| is_in(store));
-        let on_their_way: usize = self.on_their_way.values().map(|sent| sent.facts.len()).sum();
-        let unheard: usize = self.unheard.values().map(Vec::len).sum();
-        self.kept = on_their_way + unheard;
+        self.in_flight.retain(|_, sent| is_in(&sent.to));
+        self.unacknowledged.retain(|store, _| is_in(store));
+        let in_flight: usize = self.in_flight.values().map(|sent| sent.facts.len()).sum();
+        let unacknowledged: usize = self.unacknowledged.values().map(Vec::len).sum();
+        self.buffered_count = in_flight + unacknowledged;
     }
 
-    fn sent(&mut self, token: u64, sent: Sent) {
-        if self.kept + sent.facts.len() <= MOST_KEPT {
-            self.kept += sent.facts.len();
-            self.on_their_way.insert(token, sent);
+    fn add_sent(&mut self, token: u64, sent: Sent) {
+        if self.buffered_count + sent.facts.len() <= MAX_BUFFERED_FACTS {
+            self.buffered_count += sent.facts.len();
+            self.in_flight.insert(token, sent);
         }
     }
 
-    /// Facts were not heard: they are told again after a pause.
-    fn not_heard(&mut self, sent: Sent, now: Micros) {
-        self.unheard.entry(sent.to).or_default().extend(sent.facts);
-        self.tell_again_at.get_or_insert(now + PAUSE);
+    /// Queues unacknowledged facts to be sent again after a delay.
+    fn queue_retry(&mut self, sent: Sent, now: Micros) {
+        self.unacknowledged.entry(sent.to).or_default().extend(sent.facts);
+        self.retry_at.get_or_insert(now + RETRY_DELAY);
     }
 
-    /// Takes the answer to a request, if it was one of these.
-    fn answered(&mut self, token: u64, is_heard: bool, now: Micros) -> bool {
-        let Some(sent) = self.on_their_way.remove(&token) else { return false };
-        if !is_heard {
-            self.not_heard(sent, now);
+    /// Handles the response to a request. Returns false if the token belongs to no request with facts.
+    fn handle_response(&mut self, token: u64, is_acknowledged: bool, now: Micros) -> bool {
+        let Some(sent) = self.in_flight.remove(&token) else { return false };
+        if !is_acknowledged {
+            self.queue_retry(sent, now);
             return true;
         }
-        self.kept -= sent.facts.len();
-        if self.unheard.contains_key(&sent.to) {
-            self.tell_again_at = Some(now);
+        self.buffered_count -= sent.facts.len();
+        if self.unacknowledged.contains_key(&sent.to) {
+            self.retry_at = Some(now);
         }
         true
     }
 
-    /// Takes what has had no answer for long for unheard.
-    fn note_silence(&mut self, now: Micros) {
-        while let Some(first) = self.on_their_way.first_entry() {
-            if first.get().sent_at + PATIENCE > now {
+    /// Queues the facts of timed-out requests for a retry.
+    fn time_out_requests(&mut self, now: Micros) {
+        while let Some(first) = self.in_flight.first_entry() {
+            if first.get().sent_at + RESPONSE_TIMEOUT > now {
                 return;
             }
             let sent = first.remove();
-            self.not_heard(sent, now);
+            self.queue_retry(sent, now);
         }
     }
 
-    /// Takes out what is to be told again now: to each store some requests at most.
+    /// Takes the facts whose retry is due, in a limited number of requests to each store.
     fn take_due(&mut self, now: Micros) -> Vec<(StoreId, Vec<Fact>)> {
         let mut due = Vec::new();
-        if self.tell_again_at.take_if(|at| *at <= now).is_none() {
+        if self.retry_at.take_if(|at| *at <= now).is_none() {
             return due;
         }
-        for (store, facts) in &mut self.unheard {
-            let count = facts.len().min(MOST_IN_REQUEST * MOST_REQUESTS);
+        for (store, facts) in &mut self.unacknowledged {
+            let count = facts.len().min(MAX_FACTS_PER_REQUEST * MAX_RETRY_REQUESTS);
             let first: Vec<Fact> = facts.drain(..count).collect();
-            self.kept -= count;
-            due.extend(first.chunks(MOST_IN_REQUEST).map(|chunk| (store.clone(), chunk.to_vec())));
+            self.buffered_count -= count;
+            due.extend(first.chunks(MAX_FACTS_PER_REQUEST).map(|chunk| (store.clone(), chunk.to_vec())));
         }
-        self.unheard.retain(|_, facts| !facts.is_empty());
+        self.unacknowledged.retain(|_, facts| !facts.is_empty());
         due
     }
 }
 
 impl Store {
-    /// Passes facts on to stores that may lack them. The asker's answer does not wait for it.
-    pub(crate) fn forward(&mut self, facts: &[Fact]) {
+    /// Forwards facts to stores that may lack them. The response to the relay does not wait for it.
+    pub(crate) fn forward_facts(&mut self, facts: &[Fact]) {
         let mut by_store: BTreeMap<StoreId, Vec<Fact>> = BTreeMap::new();
         for fact in facts {
             let Some(partition) = fact.name().partition() else { continue };
-            for store in self.who_may_lack(fact, partition) {
+            for store in self.stores_that_may_lack(fact, partition) {
                 by_store.entry(store).or_default().push(fact.clone());
             }
         }
         for (to, facts) in by_store {
-            self.pass_on(to, facts);
+            self.send_facts(to, facts);
         }
     }
 
-    /// During a move, the stores that are new to the message's group. A store that is in no group of the message (it has
-    /// left, and its answer still counts for a relay that does not know) passes an end on to those that are.
+    /// Returns the stores that may lack a fact. During a move, these are the stores that join the message's group. A store
+    /// in no group of the message has left, and its response still counts for a relay that does not know this; it
+    /// forwards an end to the stores of the group.
     ///
-    /// Danger: a store that did so with an end that it knows already could pass it to and fro with another, where the
-    /// two have different placements.
-    fn who_may_lack(&mut self, fact: &Fact, partition: Partition) -> Vec<StoreId> {
-        if self.view.standing(partition) != Standing::Outside {
-            return self.view.newcomers(partition);
+    /// An end that this store already knows is not forwarded: two stores with different placements could otherwise send
+    /// it back and forth forever.
+    fn stores_that_may_lack(&mut self, fact: &Fact, partition: Partition) -> Vec<StoreId> {
+        if self.view.replica_state(partition) != ReplicaState::NotInGroup {
+            return self.view.joining_stores(partition);
         }
         let is_known = |name| self.messages.get(name).is_some_and(|message| message.end.is_some());
         match fact {
@@ -153,26 +154,28 @@
         }
     }
 
-    fn pass_on(&mut self, to: StoreId, facts: Vec<Fact>) {
+    fn send_facts(&mut self, to: StoreId, facts: Vec<Fact>) {
         self.last_request += 1;
         let token = self.last_request;
         let request = StoreRequest::Settle { facts: facts.clone() };
         self.out.push(Effect::SendPull { to: to.clone(), token, request });
-        self.late_facts.sent(token, Sent { to, facts, sent_at: self.now.steady });
+        self.late_facts.add_sent(token, Sent { to, facts, sent_at: self.now.steady });
     }
 
-    /// Takes another store's answer to facts. False where it answers something else.
-    pub(crate) fn late_facts_answered(&mut self, token: u64, response: Option<&StoreResponse>) -> bool {
-        let is_heard = matches!(response, Some(StoreResponse::Done { .. }));
-        self.late_facts.answered(token, is_heard, self.now.steady)
+    /// Handles another store's response to forwarded facts. Returns false if it responds to another request.
+    pub(crate) fn handle_late_facts_response(
+        &mut self, token: u64, response: Option<&StoreResponse>,
+    ) -> bool {
+        let is_acknowledged = matches!(response, Some(StoreResponse::Done { .. }));
+        self.late_facts.handle_response(token, is_acknowledged, self.now.steady)
     }
 
-    /// Tells again what is due.
-    pub(crate) fn tell_late_facts(&mut self) {
+    /// Sends the facts whose retry is due.
+    pub(crate) fn resend_late_facts(&mut self) {
         let now = self.now.steady;
-        self.late_facts.note_silence(now);
+        self.late_facts.time_out_requests(now);
         for (to, facts) in self.late_facts.take_due(now) {
-            self.pass_on(to, facts);
+            self.send_facts(to, facts);
         }
     }
 }
--- a/crates/message-log/src/leases.rs
+++ b/crates/message-log/src/leases.rs
@@ -1,7 +1,7 @@
-//! Leases of owners: while a store hears from a relay, it grants no other relay that relay's messages.
+//! Leases of owners: while a relay keeps sending requests to a store, the store grants its messages to no other relay.
 //!
-//! Leases are kept in memory. A store that starts does not know who renewed one before, so it takes it that every owner
-//! did at the moment of its start.
+//! Leases are kept in memory only. A store that starts does not know which leases were renewed before, so it assumes that
+//! every owner renewed its lease when the store started.
 
 use std::collections::HashMap;
 
@@ -9,8 +9,8 @@
 use pewterseam_wire::identity::Owner;
 use pewterseam_wire::store::OWNER_LEASE;
 
-/// Lapsed leases are removed once there are more than this many.
-const MOST_KEPT: usize = 256;
+/// Expired leases are removed once this many leases are kept.
+const MAX_LEASES: usize = 256;
 
 /// When each owner last renewed its lease.
 #[derive(Debug)]
@@ -24,13 +24,13 @@
         OwnerLeases { started, renewed: HashMap::new() }
     }
 
-    /// A request of the owner itself has arrived.
+    /// Renews the lease after a request from the owner itself.
     pub fn renew(&mut self, owner: &Owner, now: Micros) {
         if let Some(renewed) = self.renewed.get_mut(owner) {
             *renewed = now;
             return;
         }
-        if self.renewed.len() >= MOST_KEPT {
+        if self.renewed.len() >= MAX_LEASES {
             self.renewed.retain(|_, renewed| *renewed + OWNER_LEASE > now);
         }
         self.renewed.insert(owner.clone(), now);
--- a/crates/message-log/src/lib.rs
+++ b/crates/message-log/src/lib.rs
@@ -1,7 +1,7 @@
-//! The message log of a store: replicated records of messages, the facts about them, and who is to deliver them.
+//! The message log of a store: replicated records of messages, the facts about them, and their owners.
 //!
 //! [`Store`] is a state machine without I/O. A driver feeds it [`Input`]s with the time and carries out the
-//! [`Effect`]s that it returns: answers and notices go to sockets, entries to a `pewterseam_storage::LogWriter`.
+//! [`Effect`]s that it returns: responses and notices go to sockets, entries to a `pewterseam_storage::LogWriter`.
 
 mod claims;
 mod cleaning;
--- a/crates/message-log/src/log_clock.rs
+++ b/crates/message-log/src/log_clock.rs
@@ -1,18 +1,19 @@
-//! The clock of a log: the time in which a store keeps the ages of messages, over restarts too.
+//! The log clock, which measures the ages of messages across restarts.
 //!
-//! While a process runs, the log's clock runs with the steady clock, so that it is never set. Over a restart it goes on from
-//! the newest reading in the log. How long the store was away is known by the time of day alone, which may have been set
-//! meanwhile by up to `clock_error`; of that span only what is beyond `clock_error` is certain, and only that counts.
+//! While a process runs, the log clock advances with the steady (monotonic) clock, so it is never adjusted. After a restart
+//! it continues from the newest reading in the log. Only the time of day shows how long the store was down, and it may have
+//! been adjusted by up to `clock_error` meanwhile. So only the downtime beyond `clock_error` is certain, and only that
+//! part is added to the clock.
 //!
-//! So the age of a message is never told greater than it is: a message that is delayed runs late rather than early. What was
-//! not counted is kept beside it, as measured by the time of day: it says when a record is over, which must not be late.
+//! The age of a message is therefore never overestimated: a delayed message runs late rather than early. The uncounted
+//! downtime, as measured by the time of day, is kept separately. It makes records expire in time, which must not be late.
 
 use pewterseam_wire::{Micros, WallMicros};
 
 use crate::interface::Now;
 use crate::message::Moment;
 
-/// While entries are written, a reading of both clocks goes with them this often.
+/// While entries are written, a reading of both clocks is written with them at this interval.
 const READING_PERIOD: Micros = 1_000_000;
 
 /// Both clocks at one moment.
@@ -20,72 +21,76 @@
 pub(crate) struct Reading {
     pub at: Moment,
     pub wall: WallMicros,
-    /// All times away so far that the log's clock has not counted.
+    /// The total downtime so far that the log clock has not counted.
     pub away: Moment,
 }
 
 /// The clock of a running store.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LogClock {
-    /// The log's clock where the steady clock stood at zero.
+    /// The log clock's value when the steady clock was zero.
     zero: Moment,
-    /// All times away so far that were not counted, by the time of day.
-    away: Moment,
-    /// When a reading was last written.
-    read_at: Option<Micros>,
+    /// The total downtime so far that was not counted, as measured by the time of day.
+    uncounted_downtime: Moment,
+    /// When the last reading was written.
+    last_reading_at: Option<Micros>,
 }
 
 impl LogClock {
-    /// The clock of a log without entries; it begins with the time of day.
+    /// The clock of a log without entries; it starts at the time of day.
     pub fn new(now: Now) -> Self {
-        LogClock { zero: now.wall as Moment - now.steady as Moment, away: 0, read_at: None }
+        LogClock {
+            zero: now.wall as Moment - now.steady as Moment,
+            uncounted_downtime: 0,
+            last_reading_at: None,
+        }
     }
 
-    /// The time by this clock.
+    /// Converts a steady time to this clock.
     pub fn moment(&self, steady: Micros) -> Moment {
         self.zero + steady as Moment
     }
 
-    /// All times away so far that this clock has not counted, by the time of day.
-    pub fn away(&self) -> Moment {
-        self.away
+    /// The total downtime so far that this clock has not counted, as measured by the time of day.
+    pub fn uncounted_downtime(&self) -> Moment {
+        self.uncounted_downtime
     }
 
-    /// Goes on after a restart from what the log tells.
+    /// Continues after a restart from the newest reading in the log.
     pub fn resume(&mut self, recovered: &RecoveredClock, now: Now, clock_error: Micros) {
         let Some(last) = recovered.last() else { return };
-        let away = (now.wall as Moment - last.wall as Moment).max(0);
-        let certain = (away - clock_error as Moment).max(0);
+        let downtime = (now.wall as Moment - last.wall as Moment).max(0);
+        let certain = (downtime - clock_error as Moment).max(0);
         self.zero = last.at + certain - now.steady as Moment;
-        self.away = last.away + away - certain;
+        self.uncounted_downtime = last.away + downtime - certain;
     }
 
-    /// The reading that is to be written with other entries, if it is time for one.
+    /// Returns a reading to be written with other entries, if one is due.
     pub fn reading(&mut self, now: Now) -> Option<Reading> {
-        let is_due = self.read_at.is_none_or(|at| now.steady >= at + READING_PERIOD);
+        let is_due = self.last_reading_at.is_none_or(|at| now.steady >= at + READING_PERIOD);
         is_due.then(|| {
-            self.read_at = Some(now.steady);
-            Reading { at: self.moment(now.steady), wall: now.wall, away: self.away }
+            self.last_reading_at = Some(now.steady);
+            Reading { at: self.moment(now.steady), wall: now.wall, away: self.uncounted_downtime }
         })
     }
 
-    /// The steady clock's time at a moment; zero for those before its start.
-    pub fn steady(&self, moment: Moment) -> Micros {
+    /// Converts a moment to the steady clock; zero for moments before its start.
+    pub fn steady_at(&self, moment: Moment) -> Micros {
         (moment - self.zero).max(0) as Micros
     }
 
-    /// When a reading is due.
+    /// When the next reading is due.
     pub fn next_reading(&self) -> Micros {
-        self.read_at.map_or(0, |at| at + READING_PERIOD)
+        self.last_reading_at.map_or(0, |at| at + READING_PERIOD)
     }
 
-    /// The last reading is gone from the log, or is about to go: the next one is due at once.
+    /// Makes the next reading due at once, because the last one is missing from the log or is about to be removed.
     pub fn forget_reading(&mut self) {
-        self.read_at = None;
+        self.last_reading_at = None;
     }
 }
 
-/// What a log that is being read tells of its clock.
+/// The clock state collected while a log is read during recovery.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecoveredClock {
     /// The newest time of any entry.
@@ -94,12 +99,12 @@
 }
 
 impl RecoveredClock {
-    /// Takes the time of an entry.
+    /// Adds the time of an entry.
     pub fn entry(&mut self, at: Moment) {
         self.newest = self.newest.max(Some(at));
     }
 
-    /// Takes a reading of both clocks.
+    /// Adds a reading of both clocks.
     pub fn reading(&mut self, reading: Reading) {
         self.entry(reading.at);
         if self.reading.is_none_or(|known| known.at <= reading.at) {
@@ -107,7 +112,8 @@
         }
     }
 
-    /// Both clocks at the newest entry. Logs of earlier programs have no readings; their times are those of the day.
+    /// Both clocks at the newest entry. Logs written by earlier versions have no readings; their entries use the time of
+    /// day.
     fn last(&self) -> Option<Reading> {
         let at = self.newest?;
         let reading = self.reading.unwrap_or(Reading { at, wall: at as WallMicros, away: 0 });
--- a/crates/message-log/src/message.rs
+++ b/crates/message-log/src/message.rs
@@ -1,4 +1,4 @@
-//! What a store keeps of one message in memory.
+//! The in-memory state of one message.
 
 use std::sync::Arc;
 
@@ -8,43 +8,43 @@
 use pewterseam_wire::placement::Partition;
 use pewterseam_wire::record::{End, MessageName};
 
-/// A point in time of the log's clock ([`crate::log_clock`]), in microseconds.
+/// A point in time of the log clock ([`crate::log_clock`]), in microseconds.
 pub(crate) type Moment = i64;
 
-/// The number of a segment that no message needs yet.
+/// A placeholder segment number: no segment holds anything of the message yet.
 pub(crate) const NO_SEGMENT: u64 = u64::MAX;
 
-/// The ticket of what is not written.
+/// The ticket of data that is not written.
 pub(crate) const NOT_WRITTEN: u64 = 0;
 
-/// Roughly what a message without a record takes in the log.
+/// The approximate size of a message without a record in the log.
 pub(crate) const FACT_BYTES: u64 = 160;
 
-/// All that is known of a message.
+/// Everything that this store knows of a message.
 #[derive(Debug)]
 pub(crate) struct Message {
-    /// None where only facts are known, and after success.
+    /// `None` if only facts are known, and after success.
     pub record: Option<Box<HeldRecord>>,
     pub end: Option<End>,
     pub failures: u32,
-    /// From when on the record is over; none where it was never here.
+    /// When the record expires; `None` if this store never had the record.
     pub expires_at: Option<Moment>,
-    /// When the end was learnt; without one, when the first fact was.
+    /// When this store learned of the end, or of the first fact if there is no end.
     pub noted_at: Moment,
-    /// The write that holds the end; [`NOT_WRITTEN`] after it failed.
+    /// The ticket of the write of the end; [`NOT_WRITTEN`] after that write failed.
     pub end_ticket: u64,
-    /// The oldest segment that still holds something of this message that no later one does.
-    pub needed_from: u64,
+    /// The oldest segment that holds data of this message that no later segment holds.
+    pub oldest_needed_segment: u64,
 }
 
-/// A record, without what is only needed with its body.
+/// A record, without the fields that are only needed together with its body.
 #[derive(Debug)]
 pub(crate) struct HeldRecord {
-    /// The log entry that holds the record; none where it is to be read back.
+    /// The log entry that holds the record; `None` if it has to be read back from the log.
     pub payload: Option<Bytes>,
-    /// Where the entry lies, once it is synced.
+    /// The position of the entry in the log, once it is synced.
     pub position: Option<Position>,
-    /// The write that holds the record; 0 for one that was recovered.
+    /// The ticket of the write of the record; `RECOVERED_TICKET` for a recovered record.
     pub ticket: u64,
     pub partition: Partition,
     pub ordering_key: Option<Arc<str>>,
@@ -52,11 +52,11 @@
     pub owner: Owner,
     pub claim: u32,
     pub is_released: bool,
-    /// When the first store took the record.
-    pub taken_at: Moment,
-    /// Where the clock's count of times away stood then.
-    pub away_before: Moment,
-    /// It waits to be offered to an heir.
+    /// When the first store accepted the record.
+    pub accepted_at: Moment,
+    /// The log clock's uncounted downtime at that time.
+    pub downtime_before: Moment,
+    /// Whether the message is queued to be offered to another relay.
     pub is_queued: bool,
 }
 
@@ -69,7 +69,7 @@
             expires_at: None,
             noted_at,
             end_ticket: NOT_WRITTEN,
-            needed_from: NO_SEGMENT,
+            oldest_needed_segment: NO_SEGMENT,
         }
     }
 
@@ -82,19 +82,19 @@
         if self.end.is_some() { None } else { self.record.as_deref() }
     }
 
-    /// Whether this end is to replace what is known.
+    /// Whether an end takes precedence over the known one.
     pub fn is_better_end(&self, end: &End) -> bool {
         self.end.as_ref().is_none_or(|known| end.rank() < known.rank())
     }
 
-    /// Bytes that copying this message in the log takes.
+    /// The size of a copy of this message in the log.
     pub fn log_bytes(&self) -> u64 {
         FACT_BYTES + self.record.as_ref().map_or(0, |record| record.bytes())
     }
 }
 
 impl HeldRecord {
-    /// Bytes of the entry.
+    /// The size of the log entry.
     pub fn bytes(&self) -> u64 {
         match (&self.payload, &self.position) {
             (Some(payload), _) => payload.len() as u64,
--- a/crates/message-log/src/messages.rs
+++ b/crates/message-log/src/messages.rs
@@ -1,4 +1,4 @@
-//! All messages of a store with the indexes over them.
+//! All messages of a store, with their indexes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -9,19 +9,19 @@
 use pewterseam_wire::placement::Partition;
 use pewterseam_wire::record::{End, MessageName};
 
-use crate::expiry::Memory;
+use crate::expiry::EndRetention;
 use crate::message::{HeldRecord, Message, Moment};
 
-/// Names may wait in the queue of records in memory beyond those that are there.
+/// How many stale names the `resident` queue may hold before it is cleared of them.
 const RESIDENT_SLACK: usize = 1024;
 
 /// The open messages of an owner.
 #[derive(Debug, Default)]
-pub(crate) struct Owned {
+pub(crate) struct OwnedMessages {
     pub names: HashSet<MessageName>,
     pub first_seen: Micros,
-    /// The owner's life is over.
-    pub is_over: bool,
+    /// Whether the owner's process life has ended.
+    pub is_owner_ended: bool,
 }
 
 /// The messages by name, and the open ones by key, owner and predecessor.
@@ -29,13 +29,13 @@
 pub(crate) struct Messages {
     by_name: BTreeMap<MessageName, Message>,
     by_key: HashMap<Arc<str>, Vec<MessageName>>,
-    pub by_owner: HashMap<Owner, Owned>,
+    pub by_owner: HashMap<Owner, OwnedMessages>,
     successors: HashMap<MessageName, Vec<MessageName>>,
-    /// Ended messages, and those of which only facts are known, in the order in which that was noted.
+    /// Ended messages, and those of which only facts are known, ordered by when this store learned of it.
     ended: VecDeque<(Moment, MessageName)>,
-    /// Those that are remembered for longer than others, by when they are forgotten.
+    /// Messages that are remembered beyond `statusTtlS`, ordered by when they are forgotten.
     remembered: BTreeSet<(Moment, MessageName)>,
-    /// Open messages with their record in memory, oldest first; others may be among them.
+    /// Open messages with their record in memory, oldest first; the queue may contain stale names.
     resident: VecDeque<MessageName>,
     resident_count: usize,
     resident_bytes: usize,
@@ -57,21 +57,21 @@
         self.by_name.range((name.map_or(Unbounded, Excluded), Unbounded))
     }
 
-    /// The messages of which something lies in this segment or before and nowhere else.
+    /// The messages that still need data in this segment or an earlier one.
     ///
-    /// This looks at all messages. It is asked once for each segment that is removed, so it costs less than a list of
-    /// what lies where would take in memory.
-    pub fn needing(&self, segment: u64) -> Vec<MessageName> {
-        let needing = self.by_name.iter().filter(|(_, message)| message.needed_from <= segment);
-        needing.map(|(name, _)| name.clone()).collect()
+    /// This scans all messages. It runs once for each removed segment, which costs less than an index of all entries
+    /// would cost in memory.
+    pub fn messages_needing(&self, segment: u64) -> Vec<MessageName> {
+        let matching = self.by_name.iter().filter(|(_, message)| message.oldest_needed_segment <= segment);
+        matching.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Bytes that the log would take if it held only what is needed.
+    /// The size that the log would have if it held only the data that is still needed.
     pub fn live_bytes(&self) -> u64 {
         self.live_bytes
     }
 
-    /// Changes something that is neither a record's place in an index nor an end.
+    /// Changes a message. The change must not affect the indexes or the end.
     pub fn update<T>(&mut self, name: &MessageName, change: impl FnOnce(&mut Message) -> T) -> Option<T> {
         self.by_name.get_mut(name).map(change)
     }
@@ -90,12 +90,12 @@
         names.iter().filter(is_in).cloned().collect()
     }
 
-    /// The open messages that wait for this one.
+    /// The open messages that wait for this message to end.
     pub fn successors(&self, name: &MessageName) -> Vec<MessageName> {
         self.successors.get(name).cloned().unwrap_or_default()
     }
 
-    /// Puts a record to a message that has none. Strings that other messages share are shared here too.
+    /// Adds a record to a message that has none. Strings that other messages also hold are shared with them.
     pub fn insert_record(
         &mut self, name: &MessageName, mut record: HeldRecord, expires_at: Moment, now: Micros,
     ) {
@@ -126,7 +126,7 @@
     }
 
     fn index(
-        by_key: &mut HashMap<Arc<str>, Vec<MessageName>>, by_owner: &mut HashMap<Owner, Owned>,
+        by_key: &mut HashMap<Arc<str>, Vec<MessageName>>, by_owner: &mut HashMap<Owner, OwnedMessages>,
         successors: &mut HashMap<MessageName, Vec<MessageName>>, name: &MessageName, record: &HeldRecord,
         now: Micros,
     ) {
@@ -135,14 +135,14 @@
         }
         let owned = by_owner
             .entry(record.owner.clone())
-            .or_insert_with(|| Owned { first_seen: now, ..Owned::default() });
+            .or_insert_with(|| OwnedMessages { first_seen: now, ..OwnedMessages::default() });
         owned.names.insert(name.clone());
         for predecessor in &record.predecessors {
             successors.entry(predecessor.clone()).or_default().push(name.clone());
         }
     }
 
-    /// Takes an open message out of the indexes.
+    /// Removes an open message from the indexes.
     fn remove_from_indexes(&mut self, name: &MessageName) {
         let Some(record) = self.by_name.get(name).and_then(|message| message.record.as_deref()) else {
             return;
@@ -178,17 +178,19 @@
         record.owner = shared.clone();
         record.claim = claim;
         record.is_released = false;
-        let owned =
-            self.by_owner.entry(shared).or_insert_with(|| Owned { first_seen: now, ..Owned::default() });
+        let owned = self
+            .by_owner
+            .entry(shared)
+            .or_insert_with(|| OwnedMessages { first_seen: now, ..OwnedMessages::default() });
         owned.names.insert(name.clone());
     }
 
-    /// Notes that so many attempts have failed. Tells whether that is news.
+    /// Raises the number of failed attempts. Returns whether the number is new.
     pub fn note_failures(&mut self, name: &MessageName, failures: u32, at: Moment) -> bool {
         if let Some(message) = self.by_name.get_mut(name) {
-            let is_news = failures > message.failures;
+            let is_increase = failures > message.failures;
             message.failures = message.failures.max(failures);
-            return is_news;
+            return is_increase;
         }
         let mut message = Message::new(at);
         message.failures = failures;
@@ -202,8 +204,8 @@
         self.by_name.insert(name.clone(), message);
     }
 
-    /// Notes an end, written with this ticket, unless a better one is known. The record goes after a success, and
-    /// leaves memory otherwise once it is in the log.
+    /// Sets an end, written with this ticket, unless one with precedence is known. After a success the record is dropped;
+    /// otherwise it is evicted from memory once it is in the log.
     pub fn note_end(&mut self, name: &MessageName, end: &End, at: Moment, ticket: u64) -> bool {
         let Some(message) = self.by_name.get(name) else {
             let mut message = Message::new(at);
@@ -230,12 +232,12 @@
         if matches!(end, End::Completed { .. }) {
             self.drop_record(name);
         } else {
-            self.leave_memory(name);
+            self.evict_record(name);
         }
         true
     }
 
-    /// Drops the record of a message, and the message if nothing else is known of it.
+    /// Drops the record of a message, and the message itself if nothing else is known of it.
     pub fn drop_record(&mut self, name: &MessageName) {
         let Some(message) = self.by_name.get(name) else { return };
         if message.is_open() {
@@ -269,25 +271,25 @@
         }
     }
 
-    /// Messages that are remembered beyond `statusTtlS`, as a record of theirs may be open somewhere.
+    /// The number of messages that are remembered beyond `statusTtlS`, because another store may hold their record open.
     pub fn remembered_count(&self) -> usize {
         self.remembered.len()
     }
 
-    /// When something is to be forgotten.
-    pub fn forget_due(&self, memory: &Memory) -> Option<Moment> {
-        let first = self.ended.front().map(|(noted_at, _)| noted_at + memory.status_ttl);
+    /// When the next message is to be forgotten or moved to `remembered`.
+    pub fn forget_due(&self, retention: &EndRetention) -> Option<Moment> {
+        let first = self.ended.front().map(|(noted_at, _)| noted_at + retention.status_ttl);
         let remembered = self.remembered.first().map(|(until, _)| *until);
         first.into_iter().chain(remembered).min()
     }
 
-    /// Forgets messages that ended, or were only heard of, long enough ago.
-    pub fn forget(&mut self, now: Moment, memory: &Memory) {
+    /// Forgets ended messages, and those of which only facts are known, whose retention has passed.
+    pub fn forget(&mut self, now: Moment, retention: &EndRetention) {
         while let Some((_, name)) =
-            self.ended.pop_front_if(|(noted_at, _)| *noted_at + memory.status_ttl <= now)
+            self.ended.pop_front_if(|(noted_at, _)| *noted_at + retention.status_ttl <= now)
         {
             let Some(message) = self.get(&name).filter(|message| !message.is_open()) else { continue };
-            let until = memory.ends_of(message);
+            let until = retention.forget_at(message);
             if until <= now {
                 self.drop_message(&name);
             } else {
@@ -305,12 +307,12 @@
         }
     }
 
-    /// Puts the queue of what is forgotten in order after a recovery.
+    /// Sorts the queue of ended messages after a recovery.
     pub fn sort_ended(&mut self) {
         self.ended.make_contiguous().sort();
     }
 
-    /// Notes where the entry with the record of a message lies.
+    /// Sets the log position of the entry that holds the record of a message.
     pub fn note_position(&mut self, name: &MessageName, position: Position) {
         let Some(message) = self.by_name.get_mut(name) else { return };
         let is_ended = message.end.is_some();
@@ -319,12 +321,12 @@
         record.position = Some(position);
         self.live_bytes = (self.live_bytes + record.bytes()).saturating_sub(before);
         if is_ended {
-            self.leave_memory(name);
+            self.evict_record(name);
         }
     }
 
-    /// Takes a synced record out of memory; it can be read back.
-    fn leave_memory(&mut self, name: &MessageName) -> bool {
+    /// Evicts a synced record from memory; it can be read back from the log.
+    fn evict_record(&mut self, name: &MessageName) -> bool {
         let Some(record) = self.record_mut(name) else { return false };
         if record.position.is_none() {
             return false;
@@ -338,8 +340,8 @@
         true
     }
 
-    /// Takes the oldest records out of memory until the rest fits.
-    pub fn fit_memory(&mut self, bytes: usize) {
+    /// Evicts the oldest records from memory until the others fit the limit.
+    pub fn evict_records_above(&mut self, bytes: usize) {
         while self.resident_bytes > bytes {
             let Some(name) = self.resident.pop_front() else { return };
             let is_synced = self
@@ -350,7 +352,7 @@
                 self.resident.push_front(name);
                 return;
             }
-            self.leave_memory(&name);
+            self.evict_record(&name);
         }
         if self.resident.len() > 2 * self.resident_count + RESIDENT_SLACK {
             let by_name = &self.by_name;
--- a/crates/message-log/src/owners.rs
+++ b/crates/message-log/src/owners.rs
@@ -1,4 +1,4 @@
-//! Which owners live, and who inherits from those that do not.
+//! Which owners are alive, and which relays take over the messages of owners that have ended.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,32 +9,32 @@
 
 use crate::interface::Members;
 
-/// An owner of whom membership knows nothing is taken for dead after this time.
+/// An owner that is unknown to membership is considered dead after this time.
 pub(crate) const UNKNOWN_OWNER_GRACE: Micros = 2_000_000;
 
-/// How an owner stands.
+/// The state of an owner, as far as membership knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Judgement {
+pub(crate) enum OwnerState {
     Alive,
-    Over,
-    /// Membership does not tell yet.
+    Ended,
+    /// Membership does not know the owner yet.
     Unknown,
 }
 
-/// A relay that can inherit.
+/// A relay that can take over messages.
 #[derive(Debug)]
-struct Heir {
+struct TakeoverRelay {
     seed: u64,
     owner: Owner,
 }
 
-/// Membership, as far as it concerns owners.
+/// The part of cluster membership that concerns owners.
 #[derive(Debug, Default)]
 pub(crate) struct Owners {
     known_since: Option<Micros>,
     lives: HashMap<NodeName, Life>,
     ended: HashMap<NodeName, Life>,
-    heirs: Vec<Heir>,
+    takeover_relays: Vec<TakeoverRelay>,
     live_stores: HashSet<StoreId>,
 }
 
@@ -43,7 +43,7 @@
         self.known_since.get_or_insert(now);
         self.lives.clear();
         self.ended.clear();
-        self.heirs.clear();
+        self.takeover_relays.clear();
         self.live_stores.clear();
         for owner in members.ended {
             let life = self.ended.entry(owner.name).or_insert(owner.life);
@@ -55,7 +55,7 @@
                     if node.ready {
                         let seed = hash(node.name.0.as_bytes(), 0);
                         let owner = Owner { name: node.name.clone(), life: node.life };
-                        self.heirs.push(Heir { seed, owner });
+                        self.takeover_relays.push(TakeoverRelay { seed, owner });
                     }
                     self.lives.insert(node.name, node.life);
                 }
@@ -72,33 +72,34 @@
         &self.live_stores
     }
 
-    /// Judges an owner from whom this store first held messages at `first_seen`.
-    pub fn judge(&self, owner: &Owner, first_seen: Micros, now: Micros) -> Judgement {
-        let Some(known_since) = self.known_since else { return Judgement::Unknown };
+    /// Returns the state of an owner whose messages this store has held since `first_seen`.
+    pub fn owner_state(&self, owner: &Owner, first_seen: Micros, now: Micros) -> OwnerState {
+        let Some(known_since) = self.known_since else { return OwnerState::Unknown };
         if self.ended.get(&owner.name).is_some_and(|life| *life >= owner.life) {
-            return Judgement::Over;
+            return OwnerState::Ended;
         }
         match self.lives.get(&owner.name) {
-            Some(life) if *life > owner.life => Judgement::Over,
-            Some(life) if *life == owner.life => Judgement::Alive,
-            // Danger: a life below the owner's is no later one where the time of day was set back and a loss of all power
-            // has made everyone forget the owner's. Membership knows as little of this owner as of a stranger.
-            Some(_) | None if now >= known_since.max(first_seen) + UNKNOWN_OWNER_GRACE => Judgement::Over,
-            Some(_) | None => Judgement::Unknown,
+            Some(life) if *life > owner.life => OwnerState::Ended,
+            Some(life) if *life == owner.life => OwnerState::Alive,
+            // A live process with a smaller life number does not show that the owner is alive: the time of day may have
+            // been set back, and a power loss of all nodes may have erased the owner's life. Membership knows as little
+            // of this owner as of one that it never saw.
+            Some(_) | None if now >= known_since.max(first_seen) + UNKNOWN_OWNER_GRACE => OwnerState::Ended,
+            Some(_) | None => OwnerState::Unknown,
         }
     }
 
-    /// Whether a later life of the owner's node is known: the process of this one is gone.
+    /// Whether a later life of the owner's node is known, which means that the owner's process has ended.
     pub fn is_superseded(&self, owner: &Owner) -> bool {
         let lives = [self.lives.get(&owner.name), self.ended.get(&owner.name)];
         lives.into_iter().flatten().any(|life| *life > owner.life)
     }
 
-    /// The relay that takes a message over: the same at all stores with the same members. The owner that gave it up
-    /// is left out.
-    pub fn heir(&self, name: &MessageName, but: &Owner) -> Option<&Owner> {
+    /// The relay that is to take a message over, by rendezvous hashing: all stores with the same members choose the same
+    /// one. The previous owner is excluded.
+    pub fn takeover_relay(&self, name: &MessageName, previous_owner: &Owner) -> Option<&Owner> {
         let message = hash(name.0.as_bytes(), 0).to_le_bytes();
-        let candidates = self.heirs.iter().filter(|heir| heir.owner != *but);
-        candidates.map(|heir| (hash(&message, heir.seed), &heir.owner)).max().map(|(_, owner)| owner)
+        let candidates = self.takeover_relays.iter().filter(|relay| relay.owner != *previous_owner);
+        candidates.map(|relay| (hash(&message, relay.seed), &relay.owner)).max().map(|(_, owner)| owner)
     }
 }
--- a/crates/message-log/src/persistence.rs
+++ b/crates/message-log/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Entries on their way to the disk, and who waits for them.
+//! Entries that are being written to the disk, and the requests that wait for them.
 
 use std::collections::VecDeque;
 
@@ -9,20 +9,20 @@
 
 use crate::interface::Effect;
 
-/// The ticket of what was recovered from the log.
+/// The ticket of data that was recovered from the log.
 pub(crate) const RECOVERED_TICKET: u64 = 1;
 
-/// Entries that nobody waits for are written after this time at the latest.
+/// Entries that no request waits for are written after this time at the latest.
 const LAZY_DELAY: Micros = 1_000_000;
 
-/// What an entry holds.
+/// What a written entry holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Written {
-    /// A message with its record, new here.
+pub(crate) enum EntryKind {
+    /// A message with its record, new to this store.
     Record(MessageName),
     /// An end.
     End(MessageName),
-    /// Facts of a message that has no record here.
+    /// Facts of a message of which this store has no record.
     Facts(MessageName),
     /// A message that was copied from an old segment.
     Copy(MessageName),
@@ -39,13 +39,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct Batch {
     pub ticket: u64,
-    pub written: Vec<Written>,
-    /// Requests that are answered once it is synced.
+    pub written: Vec<EntryKind>,
+    /// The requests that are answered once the batch is synced.
     pub waiting: Vec<u64>,
     bytes: usize,
 }
 
-/// The batch that is being gathered and those that were handed over.
+/// The open batch, and those that were passed to the driver and are not yet synced.
 #[derive(Debug)]
 pub(crate) struct Persistence {
     open: Batch,
@@ -54,7 +54,7 @@
     lazy_since: Option<Micros>,
     in_flight: VecDeque<Batch>,
     waiting_bytes: usize,
-    /// When the disk last refused, until it takes something again.
+    /// When the last write failed; `None` once a write has succeeded since.
     pub failed_at: Option<Micros>,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The ticket that an entry added now gets.
+    /// The ticket of the open batch, which the next added entry gets.
     pub fn open_ticket(&self) -> u64 {
         self.open.ticket
     }
@@ -81,19 +81,19 @@
         self.waiting_bytes
     }
 
-    /// Adds an entry that is handed over at the end of the step.
-    pub fn add(&mut self, entry: Bytes, written: Written) -> u64 {
+    /// Adds an entry that is written at the end of the step.
+    pub fn add(&mut self, entry: Bytes, written: EntryKind) -> u64 {
         self.is_urgent = true;
         self.push(entry, written)
     }
 
-    /// Adds an entry that nobody waits for.
-    pub fn add_lazily(&mut self, entry: Bytes, written: Written, now: Micros) -> u64 {
+    /// Adds an entry that no request waits for.
+    pub fn add_lazily(&mut self, entry: Bytes, written: EntryKind, now: Micros) -> u64 {
         self.lazy_since.get_or_insert(now);
         self.push(entry, written)
     }
 
-    fn push(&mut self, entry: Bytes, written: Written) -> u64 {
+    fn push(&mut self, entry: Bytes, written: EntryKind) -> u64 {
         self.open.bytes += entry.len();
         self.waiting_bytes += entry.len();
         self.entries.push(entry);
@@ -101,13 +101,13 @@
         self.open.ticket
     }
 
-    /// Whether what has this ticket is on the disk.
+    /// Whether the batch with this ticket is synced.
     pub fn is_synced(&self, ticket: u64) -> bool {
         let first_waiting = self.in_flight.front().map_or(self.open.ticket, |batch| batch.ticket);
         ticket >= RECOVERED_TICKET && ticket < first_waiting
     }
 
-    /// Answers a request once this ticket is synced. False where it is already.
+    /// Registers a request to be answered once this ticket is synced. Returns false if no pending batch has the ticket.
     pub fn wait(&mut self, ticket: u64, token: u64) -> bool {
         if ticket == self.open.ticket {
             self.is_urgent = true;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Hands over what was gathered, if somebody waits for it or it has waited long enough.
+    /// Writes the open batch, if a request waits for it or its delay has passed.
     pub fn flush(&mut self, now: Micros) -> Option<Effect> {
         if self.entries.is_empty() || !(self.is_urgent || self.lazy_due().is_some_and(|due| due <= now)) {
             return None;
@@ -136,12 +136,12 @@
         Some(Effect::Persist { ticket, entries: std::mem::take(&mut self.entries) })
     }
 
-    /// When entries that nobody waits for are to be written.
+    /// When entries that no request waits for are to be written.
     pub fn lazy_due(&self) -> Option<Micros> {
         self.lazy_since.map(|since| since + LAZY_DELAY)
     }
 
-    /// Takes the batches up to a ticket, which are synced or have failed.
+    /// Removes and returns the batches up to a ticket, which are synced or have failed.
     pub fn take_through(&mut self, through: u64) -> Vec<Batch> {
         let count = self.in_flight.iter().take_while(|batch| batch.ticket <= through).count();
         let batches: Vec<Batch> = self.in_flight.drain(..count).collect();
@@ -149,7 +149,7 @@
         batches
     }
 
-    /// Takes all requests that wait.
+    /// Removes and returns all waiting requests.
     pub fn take_waiting(&mut self) -> Vec<u64> {
         let mut waiting = std::mem::take(&mut self.open.waiting);
         for batch in &mut self.in_flight {
@@ -158,12 +158,12 @@
         waiting
     }
 
-    /// Whether entries are gathered that were not handed over.
+    /// Whether the open batch has entries.
     pub fn has_open_entries(&self) -> bool {
         !self.entries.is_empty()
     }
 
-    /// Whether nothing is on its way.
+    /// Whether no batch is being written.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
--- a/crates/message-log/src/placement_view.rs
+++ b/crates/message-log/src/placement_view.rs
@@ -1,4 +1,4 @@
-//! A store's place in the placement in force.
+//! A store's view of the current placement.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -7,18 +7,18 @@
     PARTITIONS, Partition, Placement, PlacementEpoch, StoreEntry, StoreId, hash,
 };
 
-/// How a store stands to a partition.
+/// The role of a store as a replica of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// In none of its groups.
-    Outside,
-    /// In a group, but it has yet to copy what was written before.
+pub(crate) enum ReplicaState {
+    /// The store is in no group of the partition.
+    NotInGroup,
+    /// The store is in a group, but has not yet copied what was written before it joined.
     Incomplete,
-    /// Its answers count.
+    /// The store holds everything, and its answers count towards a quorum.
     Complete,
 }
 
-/// How a request's epoch stands to the store's.
+/// How a request's epoch compares to the store's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EpochOrder {
     Older,
@@ -32,10 +32,10 @@
     store: StoreId,
     placement: Arc<Placement>,
     set_hashes: Vec<u64>,
-    /// Sets for which everything was copied, and the placement under which that holds.
+    /// The sets for which everything was copied, and the epoch of the placement for which that holds.
     copied: Vec<(u64, PlacementEpoch)>,
-    /// Filled as partitions are asked for.
-    standings: Vec<Option<Standing>>,
+    /// A cache by partition, filled on demand.
+    replica_states: Vec<Option<ReplicaState>>,
 }
 
 impl PlacementView {
@@ -45,7 +45,7 @@
             placement: Arc::default(),
             set_hashes: Vec::new(),
             copied: Vec::new(),
-            standings: vec![None; usize::from(PARTITIONS)],
+            replica_states: vec![None; usize::from(PARTITIONS)],
         }
     }
 
@@ -65,13 +65,14 @@
         }
     }
 
-    /// Takes a newer placement. False where it is none.
+    /// Sets a newer placement. Returns false if the placement is not newer.
     pub fn set(&mut self, placement: Arc<Placement>) -> bool {
         if placement.sets.is_empty() || placement.epoch <= self.placement.epoch && !self.set_hashes.is_empty()
         {
             return false;
         }
-        // A set that the very next placement keeps was written to without a break. Of a later one nobody knows.
+        // If the next epoch keeps a set, the set has received all writes without a gap. After a skipped epoch this is not
+        // certain.
         let (before, after) = (self.placement.epoch, placement.epoch);
         let is_next = after.0 == before.0 + 1;
         for (_, epoch) in self.copied.iter_mut().filter(|(_, epoch)| is_next && *epoch == before) {
@@ -80,89 +81,89 @@
         self.set_hashes = placement.sets.iter().map(|set| set_hash(set)).collect();
         self.placement = placement;
         self.copied.retain(|(set, epoch)| *epoch == after && self.set_hashes.contains(set));
-        self.standings.fill(None);
+        self.replica_states.fill(None);
         true
     }
 
-    /// Notes that everything was copied that members of a set must know.
+    /// Marks a set as copied: this store has everything that the set's members must hold.
     pub fn note_copied(&mut self, set: u64, epoch: PlacementEpoch) {
         if !self.copied.contains(&(set, epoch)) {
             self.copied.push((set, epoch));
         }
-        self.standings.fill(None);
+        self.replica_states.fill(None);
     }
 
-    /// The sets of the placement in force, but for the first, that were copied under it.
+    /// The sets of the current placement, except for the first, that were copied under it.
     pub fn copied_sets(&self) -> Vec<u64> {
         let later = self.set_hashes.iter().skip(1).copied();
         later.filter(|set| self.copied.contains(&(*set, self.placement.epoch))).collect()
     }
 
-    /// The hash of the set that messages are moving to.
+    /// The hash of the set that messages are being moved to.
     pub fn target_hash(&self) -> Option<u64> {
         self.set_hashes.last().copied()
     }
 
-    /// Whether messages are moving to a set that this store is in.
+    /// Whether messages are being moved to a set that contains this store.
     pub fn is_joining(&self) -> bool {
         let target = self.placement.sets.last();
         self.placement.sets.len() > 1
             && target.is_some_and(|set| set.iter().any(|entry| entry.id == self.store))
     }
 
-    pub fn standing(&mut self, partition: Partition) -> Standing {
+    pub fn replica_state(&mut self, partition: Partition) -> ReplicaState {
         let index = usize::from(partition.0);
-        match self.standings.get(index).copied() {
-            Some(Some(standing)) => standing,
+        match self.replica_states.get(index).copied() {
+            Some(Some(replica_state)) => replica_state,
             Some(None) => {
-                let standing = self.find_standing(partition);
-                self.standings[index] = Some(standing);
-                standing
+                let replica_state = self.compute_replica_state(partition);
+                self.replica_states[index] = Some(replica_state);
+                replica_state
             }
-            None => Standing::Outside,
+            None => ReplicaState::NotInGroup,
         }
     }
 
-    /// The first set is complete: every durable write since it came into force is in it, and it stays first until
-    /// another one is. Later ones are once they were copied.
-    fn find_standing(&self, partition: Partition) -> Standing {
-        let mut standing = Standing::Outside;
+    /// The first set is complete: it contains every durable write since it took effect, and it stays the first set until
+    /// another set is complete. Later sets are complete once they were copied.
+    fn compute_replica_state(&self, partition: Partition) -> ReplicaState {
+        let mut replica_state = ReplicaState::NotInGroup;
         for (index, group) in self.placement.groups(partition).iter().enumerate() {
             if !group.stores.contains(&self.store) {
                 continue;
             }
             if index == 0 || self.copied.contains(&(self.set_hashes[index], self.placement.epoch)) {
-                return Standing::Complete;
+                return ReplicaState::Complete;
             }
-            standing = Standing::Incomplete;
+            replica_state = ReplicaState::Incomplete;
         }
-        standing
+        replica_state
     }
 
-    /// The partitions that this store has yet to copy.
+    /// The partitions that this store still has to copy.
     pub fn incomplete_partitions(&mut self) -> Vec<Partition> {
         if self.placement.sets.len() < 2 {
             return Vec::new();
         }
         let all = (0..PARTITIONS).map(Partition);
-        all.filter(|partition| self.standing(*partition) == Standing::Incomplete).collect()
+        all.filter(|partition| self.replica_state(*partition) == ReplicaState::Incomplete).collect()
     }
 
-    /// How many live stores of the target's group come before this one. Where no store is known to live, all are
-    /// taken to.
+    /// The number of live stores that precede this one in the target group. If no store is known to be alive, all stores
+    /// are assumed to be.
     pub fn rank(&self, partition: Partition, live: &HashSet<StoreId>) -> usize {
         let Some(group) = self.placement.groups(partition).pop() else { return 0 };
         let before = group.stores.iter().take_while(|store| **store != self.store);
         before.filter(|store| live.is_empty() || live.contains(store)).count()
     }
 
-    /// The stores of the group that messages of a partition are moving to, or are at.
+    /// The stores of the group that holds the messages of a partition, or that they are being moved to.
     pub fn target_stores(&self, partition: Partition) -> Vec<StoreId> {
         self.placement.groups(partition).pop().map(|group| group.stores).unwrap_or_default()
     }
 
-    /// The stores that are new to a partition, where this one is in the group that they copy from.
-    pub fn newcomers(&self, partition: Partition) -> Vec<StoreId> {
+    /// The stores that join a partition's group, if this store is in the group that they copy from.
+    pub fn joining_stores(&self, partition: Partition) -> Vec<StoreId> {
         if self.placement.sets.len() < 2 {
             return Vec::new();
         }
@@ -175,7 +176,7 @@
     }
 }
 
-/// A number for a set of stores, the same in whatever order it lists them.
+/// A hash of a set of stores that does not depend on their order.
 fn set_hash(set: &[StoreEntry]) -> u64 {
     set.iter().fold(0, |sum, entry| sum ^ hash(entry.id.name.0.as_bytes(), entry.id.disk.0))
 }
--- a/crates/message-log/src/recovery.rs
+++ b/crates/message-log/src/recovery.rs
@@ -8,13 +8,13 @@
 use crate::interface::{Now, StoreSettings};
 use crate::log_clock::{Reading, RecoveredClock};
 use crate::message::{HeldRecord, Message, Moment, NO_SEGMENT};
-use crate::persistence::{RECOVERED_TICKET, Written};
+use crate::persistence::{EntryKind, RECOVERED_TICKET};
 use crate::store::Store;
 
 /// Why a store could not be rebuilt.
 #[derive(Debug)]
 pub enum RecoverError {
-    /// An entry is whole and yet cannot be understood: a newer program wrote it.
+    /// An entry is intact but cannot be decoded, because a newer version of the program wrote it.
     UnknownEntry { position: Position, error: FrameError },
 }
 
@@ -23,8 +23,8 @@
         match self {
             RecoverError::UnknownEntry { position, error } => write!(
                 f,
-                "the entry at byte {} of segment {} is of no kind that this program knows; start the newer program \
-                 again ({error})",
+                "cannot decode the entry at byte {} of segment {}, which a newer version of the program wrote; start \
+                 that version again ({error})",
                 position.offset, position.segment
             ),
         }
@@ -33,7 +33,7 @@
 
 impl std::error::Error for RecoverError {}
 
-/// A store that is being rebuilt: each entry of its log in order, then [`StoreRecovery::finish`].
+/// A store that is being rebuilt: pass each entry of its log in order, then call [`StoreRecovery::finish`].
 pub struct StoreRecovery {
     store: Store,
     clock: RecoveredClock,
@@ -41,12 +41,12 @@
 }
 
 impl StoreRecovery {
-    /// Begins with nothing. A store on an empty disk has no entries.
+    /// Starts with an empty store. A store on an empty disk has no entries.
     pub fn new(settings: StoreSettings, now: Now) -> Self {
         StoreRecovery { store: Store::empty(settings, now), clock: RecoveredClock::default(), error: None }
     }
 
-    /// Takes the next entry.
+    /// Applies the next entry.
     pub fn entry(&mut self, position: Position, payload: &[u8]) {
         match LogEntry::decode(payload) {
             Ok(entry) => self.apply(position, entry),
@@ -56,14 +56,14 @@
         }
     }
 
-    /// The store as the log left it.
+    /// Returns the store in the state that the log describes.
     pub fn finish(mut self) -> Result<Store, RecoverError> {
         if let Some(error) = self.error {
             return Err(error);
         }
         let (now, clock_error) = (self.store.now, self.store.settings.clock_error);
         self.store.clock.resume(&self.clock, now, clock_error);
-        self.store.expire_by_times_away();
+        self.store.subtract_uncounted_downtime();
         self.store.messages.sort_ended();
         self.store.note_ended_predecessors();
         Ok(self.store)
@@ -76,24 +76,24 @@
                 self.clock.entry(kept.taken.max(kept.ended));
                 let name = kept.stored.name.clone();
                 apply_message(store, position, *kept);
-                Written::Record(name)
+                EntryKind::Record(name)
             }
             LogEntry::Ended { name, end, at } => {
                 self.clock.entry(at);
                 apply_end(store, &name, &end, at);
-                Written::End(name)
+                EntryKind::End(name)
             }
             LogEntry::Attempted { name, failures, at } => {
                 self.clock.entry(at);
                 store.messages.note_failures(&name, failures, at);
                 let has_record = store.messages.get(&name).is_some_and(|message| message.record.is_some());
-                if has_record { Written::Other } else { Written::Facts(name) }
+                if has_record { EntryKind::Other } else { EntryKind::Facts(name) }
             }
             LogEntry::Claimed { names, owner, claim } => {
                 for name in names {
                     store.change_owner(&name, &owner, claim);
                 }
-                Written::Other
+                EntryKind::Other
             }
             LogEntry::Released { names, owner } => {
                 for name in names {
@@ -104,16 +104,16 @@
                     }
                     store.queue_orphan(&name);
                 }
-                Written::Other
+                EntryKind::Other
             }
             LogEntry::CopiedSet { set, epoch } => {
                 store.view.note_copied(set, epoch);
-                Written::CopiedSet { set, epoch }
+                EntryKind::CopiedSet { set, epoch }
             }
-            LogEntry::Probe => Written::Other,
+            LogEntry::Probe => EntryKind::Other,
             LogEntry::Time { at, wall, away } => {
                 self.clock.reading(Reading { at, wall, away });
-                Written::Time
+                EntryKind::Time
             }
         };
         store.note_written(&written, position);
@@ -124,22 +124,23 @@
     store.messages.note_end(name, end, at, RECOVERED_TICKET);
 }
 
-/// A copy of a message that is here already stands for all of it, as copies are written when more is known.
+/// Applies a message entry. A later copy of a known message replaces all earlier entries of it, because a copy contains
+/// everything that was known when it was written.
 fn apply_message(store: &mut Store, position: Position, kept: KeptMessage) {
     let stored = kept.stored;
     let name = stored.name;
     if let Some(end) = &stored.end {
         apply_end(store, &name, end, kept.ended);
     }
-    let taken_at = kept.taken;
-    store.messages.note_failures(&name, stored.failures, taken_at);
+    let accepted_at = kept.taken;
+    store.messages.note_failures(&name, stored.failures, accepted_at);
     let is_needed = store.messages.get(&name).is_none_or(|message| {
         message.record.is_none() && !matches!(message.end, Some(End::Completed { .. }))
     });
     match (stored.record, is_needed) {
         (Some(record), true) => {
-            // Times away are taken off once all of them are known.
-            let expires_at = store.expiry_of(&record, taken_at, 0);
+            // Downtimes are subtracted at the end of the recovery, once all of them are known.
+            let expires_at = store.expiry_of(&record, accepted_at, 0);
             let held = HeldRecord {
                 payload: None,
                 position: Some(position),
@@ -150,8 +151,8 @@
                 owner: stored.owner.unwrap_or(record.owner),
                 claim: stored.claim,
                 is_released: kept.is_released,
-                taken_at,
-                away_before: kept.away_before,
+                accepted_at,
+                downtime_before: kept.downtime_before,
                 is_queued: false,
             };
             store.messages.insert_record(&name, held, expires_at, store.now.steady);
@@ -163,7 +164,7 @@
             if let Some(owner) = &stored.owner {
                 store.change_owner(&name, owner, stored.claim);
             }
-            store.messages.update(&name, |message: &mut Message| message.needed_from = NO_SEGMENT);
+            store.messages.update(&name, |message: &mut Message| message.oldest_needed_segment = NO_SEGMENT);
         }
         (None, true) => {}
     }
--- a/crates/message-log/src/requests.rs
+++ b/crates/message-log/src/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of relays and other stores.
+//! Handles the requests of relays and other stores.
 
 use std::sync::Arc;
 
@@ -7,18 +7,18 @@
 use pewterseam_wire::store::{Decline, Status, StoreRequest, StoreResponse, StoredMessage};
 
 use crate::entry::{KeptMessage, LogEntry};
-use crate::expiry::age;
-use crate::gathering::{Job, Purpose};
+use crate::expiry::span_from_ms;
+use crate::gathering::{GatherJob, Purpose};
 use crate::interface::Effect;
 use crate::message::{HeldRecord, Message, NOT_WRITTEN};
-use crate::persistence::Written;
-use crate::placement_view::{EpochOrder, Standing};
-use crate::store::{Held, Store};
+use crate::persistence::EntryKind;
+use crate::placement_view::{EpochOrder, ReplicaState};
+use crate::store::{HeldRequest, Store};
 
-/// What is to become of a request.
+/// Whether a request is handled now, held, or declined.
 enum Admission {
     Now,
-    /// When the store knows a newer placement.
+    /// Held until the store knows a newer placement.
     Later,
     Declined(Decline),
 }
@@ -27,29 +27,31 @@
     pub(crate) fn handle(&mut self, token: u64, request: StoreRequest) {
         match self.admit(&request) {
             Admission::Now => self.answer(token, request),
-            Admission::Later => self.hold(Held { token, request, since: self.now.steady }),
+            Admission::Later => self.hold(HeldRequest { token, request, since: self.now.steady }),
             Admission::Declined(reason) => self.decline(token, reason),
         }
     }
 
-    /// Looks at a request's epoch. A request of a newer placement is answered where this store is in the group by its
-    /// own: a write can do no harm, and a store that belongs to the older group knows all that it must.
+    /// Checks a request's epoch. A request with a newer placement is answered if this store is in the group by its own
+    /// placement: a write is harmless, and a store of the older group holds everything that it must.
     fn admit(&mut self, request: &StoreRequest) -> Admission {
         let (epoch, partition, needs) = match request {
-            StoreRequest::Append { epoch, record, .. } => (*epoch, record.partition, Standing::Incomplete),
-            StoreRequest::ListOpen { epoch, partition, .. } => (*epoch, *partition, Standing::Complete),
+            StoreRequest::Append { epoch, record, .. } => {
+                (*epoch, record.partition, ReplicaState::Incomplete)
+            }
+            StoreRequest::ListOpen { epoch, partition, .. } => (*epoch, *partition, ReplicaState::Complete),
             StoreRequest::Pull { epoch, .. } => {
                 let is_ahead = self.view.order(*epoch) == EpochOrder::Newer;
                 return if is_ahead { Admission::Later } else { Admission::Now };
             }
             _ => return Admission::Now,
         };
-        let standing = self.view.standing(partition);
-        let is_fit = match needs {
-            Standing::Complete => standing == Standing::Complete,
-            _ => standing != Standing::Outside,
+        let replica_state = self.view.replica_state(partition);
+        let is_eligible = match needs {
+            ReplicaState::Complete => replica_state == ReplicaState::Complete,
+            _ => replica_state != ReplicaState::NotInGroup,
         };
-        match (self.view.order(epoch), is_fit) {
+        match (self.view.order(epoch), is_eligible) {
             (EpochOrder::Older, _) => Admission::Declined(Decline::StalePlacement),
             (EpochOrder::Newer, false) => Admission::Later,
             (EpochOrder::Same, false) => Admission::Declined(Decline::NotInGroup),
@@ -87,13 +89,13 @@
 
     pub(crate) fn decline(&mut self, token: u64, reason: Decline) {
         let store = self.settings.id.clone();
-        self.moved_on.remove(&token);
+        self.superseded_appends.remove(&token);
         self.respond(token, StoreResponse::Declined { store, reason });
     }
 
     pub(crate) fn done(&mut self, token: u64) {
         let store = self.settings.id.clone();
-        let response = match self.moved_on.remove(&token) {
+        let response = match self.superseded_appends.remove(&token) {
             Some(name) => StoreResponse::Statuses { store, statuses: vec![self.status(&name)] },
             None => StoreResponse::Done { store },
         };
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Whether a record that is kept is no longer its first owner's, or has ended.
-    fn has_moved_on(&self, record: &Record) -> bool {
+    /// Whether a stored message no longer belongs to its first owner, or has ended.
+    fn is_superseded_or_ended(&self, record: &Record) -> bool {
         match self.status(&record.name) {
             Status::Unknown => false,
             Status::Ended(_) => true,
@@ -120,10 +122,11 @@
 
     /// Answers an append once a write is synced.
     ///
-    /// Danger: an owner that was cut off, writes again and is told that all is well runs what another relay has run.
+    /// If the message has another owner or has ended, the response contains its status. With a plain `Done`, an owner
+    /// that was cut off and writes again would run a message that another relay has run.
     fn appended_after(&mut self, token: u64, ticket: u64, record: &Record) {
-        if self.has_moved_on(record) {
-            self.moved_on.insert(token, record.name.clone());
+        if self.is_superseded_or_ended(record) {
+            self.superseded_appends.insert(token, record.name.clone());
         }
         self.done_after(token, ticket);
     }
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Why no record can be taken now.
+    /// Returns why no record can be accepted now, or `None` if one can.
     fn reason_to_decline(&self) -> Option<Decline> {
         let waiting = self.persistence.waiting_bytes();
         let room = self.settings.disk_bytes - self.settings.disk_bytes / 8;
@@ -176,8 +179,8 @@
         }
     }
 
-    /// Takes a record that is not here yet, with what its sender knows of it, and returns the ticket of its write.
-    /// None where it cannot be written at all.
+    /// Adds a record that this store does not have yet, with the sender's state of the message. Returns the ticket of its
+    /// write, or `None` if the record cannot be written at all.
     pub(crate) fn add_record(&mut self, mut stored: StoredMessage) -> Option<u64> {
         let name = stored.name.clone();
         let known_end = self.messages.get(&name).and_then(|message| message.end.clone());
@@ -186,10 +189,10 @@
         }
         let noted_at = self.messages.get(&name).map_or(self.moment(), |message| message.noted_at);
         let record = stored.record.as_ref()?;
-        let taken_at = self.moment() - age(stored.age_ms);
-        let away = age(stored.away_ms);
-        let expires_at = self.expiry_of(record, taken_at, away);
-        let away_before = self.clock.away() - away;
+        let accepted_at = self.moment() - span_from_ms(stored.age_ms);
+        let downtime = span_from_ms(stored.away_ms);
+        let expires_at = self.expiry_of(record, accepted_at, downtime);
+        let downtime_before = self.clock.uncounted_downtime() - downtime;
         let mut held = HeldRecord {
             payload: None,
             position: None,
@@ -200,24 +203,25 @@
             owner: stored.owner.clone().unwrap_or_else(|| record.owner.clone()),
             claim: stored.claim,
             is_released: false,
-            taken_at,
-            away_before,
+            accepted_at,
+            downtime_before,
             is_queued: false,
         };
-        let kept = KeptMessage { stored, taken: taken_at, ended: noted_at, is_released: false, away_before };
+        let kept =
+            KeptMessage { stored, taken: accepted_at, ended: noted_at, is_released: false, downtime_before };
         let entry = LogEntry::Message(Box::new(kept)).encode().ok()?;
-        if entry.len() > pewterseam_storage::MOST_PAYLOAD_BYTES {
+        if entry.len() > pewterseam_storage::MAX_PAYLOAD_BYTES {
             return None;
         }
         held.payload = Some(entry.clone());
-        let ticket = self.persistence.add(entry, Written::Record(name.clone()));
+        let ticket = self.persistence.add(entry, EntryKind::Record(name.clone()));
         self.messages.insert_record(&name, held, expires_at, self.now.steady);
         self.check_owner(&name);
-        self.tell_of_ended_predecessors(&name);
+        self.notify_of_ended_predecessors(&name);
         Some(ticket)
     }
 
-    fn tell_of_ended_predecessors(&mut self, name: &MessageName) {
+    fn notify_of_ended_predecessors(&mut self, name: &MessageName) {
         let Some(record) = self.messages.get(name).and_then(Message::open_record) else { return };
         for predecessor in &record.predecessors {
             if self.messages.get(predecessor).is_some_and(|message| message.end.is_some()) {
@@ -233,7 +237,7 @@
     }
 
     fn settle(&mut self, token: u64, facts: Vec<Fact>) {
-        self.forward(&facts);
+        self.forward_facts(&facts);
         let mut ticket = None;
         for fact in facts {
             match fact {
@@ -256,18 +260,18 @@
             return;
         }
         let has_record = self.messages.get(name).is_some_and(|message| message.record.is_some());
-        let written = if has_record { Written::Other } else { Written::Facts(name.clone()) };
+        let written = if has_record { EntryKind::Other } else { EntryKind::Facts(name.clone()) };
         let entry = LogEntry::Attempted { name: name.clone(), failures, at: now };
         self.write_lazily(&entry, written);
     }
 
-    pub(crate) fn write_lazily(&mut self, entry: &LogEntry, written: Written) {
+    pub(crate) fn write_lazily(&mut self, entry: &LogEntry, written: EntryKind) {
         if let Ok(entry) = entry.encode() {
             self.persistence.add_lazily(entry, written, self.now.steady);
         }
     }
 
-    /// Takes an end and returns the ticket of its write.
+    /// Sets the end of a message and returns the ticket of its write.
     pub(crate) fn note_end(&mut self, name: &MessageName, end: End) -> u64 {
         let ticket = self.persistence.open_ticket();
         let at = self.moment();
@@ -287,7 +291,7 @@
         ticket
     }
 
-    /// Writes an end again whose write has failed.
+    /// Writes an end again after its write has failed.
     pub(crate) fn rewrite_end(&mut self, name: &MessageName) {
         let ticket = self.persistence.open_ticket();
         let end = self.messages.update(name, |message| {
@@ -302,16 +306,17 @@
     fn write_end(&mut self, name: &MessageName, end: End) {
         let entry = LogEntry::Ended { name: name.clone(), end, at: self.moment() };
         if let Ok(entry) = entry.encode() {
-            self.persistence.add(entry, Written::End(name.clone()));
+            self.persistence.add(entry, EntryKind::End(name.clone()));
         }
     }
 
-    /// A relay takes the end of a message from all but f stores. So one that has yet to copy may not answer.
+    /// Answers with the status of messages. A relay determines the end of a message from all but f stores, so a store that
+    /// has not finished copying must not answer.
     fn look(&mut self, token: u64, names: &[MessageName]) {
         let is_complete = names
             .iter()
             .filter_map(MessageName::partition)
-            .all(|partition| self.view.standing(partition) == Standing::Complete);
+            .all(|partition| self.view.replica_state(partition) == ReplicaState::Complete);
         if !is_complete {
             return self.decline(token, Decline::NotInGroup);
         }
@@ -334,7 +339,7 @@
         }
     }
 
-    pub(crate) fn answer_fetch(&mut self, token: u64, job: &Job) {
+    pub(crate) fn answer_fetch(&mut self, token: u64, job: &GatherJob) {
         if job.has_failed {
             return self.decline(token, Decline::Disk);
         }
--- a/crates/message-log/src/store.rs
+++ b/crates/message-log/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: takes inputs, returns effects.
+//! The state machine of a store: takes inputs, returns effects.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -21,34 +21,34 @@
 use crate::messages::Messages;
 use crate::offers::Offers;
 use crate::owners::Owners;
-use crate::persistence::{Persistence, Written};
+use crate::persistence::{EntryKind, Persistence};
 use crate::placement_view::PlacementView;
 use crate::successors::EndNotices;
 
-/// A request of a newer placement waits this long for it.
-const HOLD_TIME: Micros = 1_000_000;
+/// How long a request with a newer placement waits for that placement.
+const MAX_HOLD_TIME: Micros = 1_000_000;
 
-/// Requests that wait at most.
-const MOST_HELD: usize = 1024;
+/// The maximum number of requests that wait for a placement.
+const MAX_HELD_REQUESTS: usize = 1024;
 
-/// The disk is tried again so long after it refused.
-const DISK_RETRY: Micros = 1_000_000;
+/// The disk is tried again this long after a failed write.
+const DISK_RETRY_DELAY: Micros = 1_000_000;
 
-/// No wake-up is asked for sooner than this.
-const SHORTEST_WAIT: Micros = 20_000;
+/// No wake-up is requested earlier than this from now.
+const MIN_WAKE_DELAY: Micros = 20_000;
 
-/// Ended messages are forgotten this much late, so that many go at once.
-const FORGET_SLACK: Micros = 1_000_000;
+/// Ended messages are forgotten with this delay, so that many are removed in one step.
+const FORGET_DELAY: Micros = 1_000_000;
 
 /// A request that waits for a newer placement.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldRequest {
     pub token: u64,
     pub request: StoreRequest,
     pub since: Micros,
 }
 
-impl Held {
+impl HeldRequest {
     fn body_bytes(&self) -> usize {
         match &self.request {
             StoreRequest::Append { record, .. } => record.body.len(),
@@ -74,18 +74,18 @@
     pub(crate) gathering: Gathering,
     pub(crate) copying: Option<Copying>,
     pub(crate) late_facts: LateFacts,
-    /// Appends of records that have another owner by now, or have ended, and wait for the disk.
-    pub(crate) moved_on: HashMap<u64, MessageName>,
-    /// Ends whose write has failed.
+    /// Appends that wait for the disk and whose message already has another owner or has ended, by token.
+    pub(crate) superseded_appends: HashMap<u64, MessageName>,
+    /// The messages whose end could not be written.
     pub(crate) unwritten_ends: Vec<MessageName>,
-    /// The longest `retentionS` of all records that were seen.
+    /// The longest `retentionS` of all records that this store has seen.
     pub(crate) longest_retention: Moment,
-    /// When open records were last looked through for those that are over.
-    pub(crate) expired_at: Micros,
+    /// When open records were last checked for expiry.
+    pub(crate) last_expiry_check: Micros,
     /// The token of the last request to another store.
     pub(crate) last_request: u64,
     pub(crate) out: Vec<Effect>,
-    held: VecDeque<Held>,
+    held: VecDeque<HeldRequest>,
     wake_at: Option<Micros>,
 }
 
@@ -106,10 +106,10 @@
             gathering: Gathering::default(),
             copying: None,
             late_facts: LateFacts::default(),
-            moved_on: HashMap::new(),
+            superseded_appends: HashMap::new(),
             unwritten_ends: Vec::new(),
             longest_retention: 0,
-            expired_at: now.steady,
+            last_expiry_check: now.steady,
             last_request: 0,
             out: Vec::new(),
             held: VecDeque::new(),
@@ -117,12 +117,11 @@
         }
     }
 
-    /// Who this store is.
     pub fn id(&self) -> &StoreId {
         &self.settings.id
     }
 
-    /// Takes an input and returns what is to be done, in order. The steady clock may not go back between calls.
+    /// Handles an input and returns the effects to perform, in order. The steady clock must not go back between calls.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Effect> {
         self.now = now;
         match input {
@@ -131,51 +130,51 @@
             Input::Members(members) => self.set_members(members),
             Input::Persisted { through, positions } => self.persisted(through, positions),
             Input::PersistFailed { through } => self.persist_failed(through),
-            Input::ReadBack { token, payload } => self.take_read(token, payload),
-            Input::PullAnswered { token, response } => self.take_pull_answer(token, response),
+            Input::ReadBack { token, payload } => self.handle_read(token, payload),
+            Input::PullAnswered { token, response } => self.handle_pull_response(token, response),
             Input::Tick => {}
         }
-        self.do_what_is_due();
+        self.run_due_work();
         if self.persistence.has_open_entries() || self.reading_due().is_some_and(|due| due <= now.steady) {
             self.write_time();
         }
         if let Some(persist) = self.persistence.flush(self.now.steady) {
             self.out.push(persist);
         }
-        self.ask_to_wake();
+        self.request_wake_up();
         std::mem::take(&mut self.out)
     }
 
-    fn do_what_is_due(&mut self) {
+    fn run_due_work(&mut self) {
         self.release_held(false);
         self.retry_disk();
-        self.messages.fit_memory(self.settings.memory_bytes);
+        self.messages.evict_records_above(self.settings.memory_bytes);
         self.expire_records();
         self.send_end_notices();
         self.make_offers();
-        self.drive_copying();
-        self.tell_late_facts();
+        self.advance_copying();
+        self.resend_late_facts();
         self.clean();
         if self.forget_due().is_some_and(|due| due <= self.moment()) {
-            let memory = self.memory();
-            self.messages.forget(self.moment(), &memory);
+            let retention = self.end_retention();
+            self.messages.forget(self.moment(), &retention);
         }
     }
 
-    /// The time by the log's clock.
+    /// The current time of the log clock.
     pub(crate) fn moment(&self) -> Moment {
         self.clock.moment(self.now.steady)
     }
 
-    /// Writes a reading of the clocks, if it is time for one.
+    /// Writes a reading of the clocks, if one is due.
     pub(crate) fn write_time(&mut self) {
         let Some(Reading { at, wall, away }) = self.clock.reading(self.now) else { return };
         if let Ok(entry) = (LogEntry::Time { at, wall, away }).encode() {
-            self.persistence.add_lazily(entry, Written::Time, self.now.steady);
+            self.persistence.add_lazily(entry, EntryKind::Time, self.now.steady);
         }
     }
 
-    /// When a reading is to be written by itself: while messages are open, their ages must not be lost.
+    /// When a reading is to be written even without other entries, so that the ages of open messages are not lost.
     fn reading_due(&self) -> Option<Micros> {
         (!self.messages.by_owner.is_empty() && self.persistence.failed_at.is_none())
             .then(|| self.clock.next_reading())
@@ -183,23 +182,23 @@
 
     fn set_placement(&mut self, placement: Arc<Placement>) {
         if self.view.set(placement) {
-            self.late_facts.keep_those_in(self.view.placement());
+            self.late_facts.retain_stores_in(self.view.placement());
             self.write_copied_sets();
             self.start_copying();
             self.release_held(true);
         }
     }
 
-    pub(crate) fn hold(&mut self, held: Held) {
+    pub(crate) fn hold(&mut self, held: HeldRequest) {
         let bytes: usize = self.held.iter().map(|held| held.body_bytes()).sum();
-        if self.held.len() >= MOST_HELD || bytes >= self.settings.waiting_bytes {
+        if self.held.len() >= MAX_HELD_REQUESTS || bytes >= self.settings.waiting_bytes {
             return self.decline(held.token, Decline::Busy);
         }
         self.held.push_back(held);
     }
 
-    /// Looks again at requests that wait for a placement, if there is a new one, and declines those that have waited
-    /// long enough.
+    /// Handles the held requests again if there is a new placement. Otherwise declines those whose hold time has
+    /// passed.
     fn release_held(&mut self, is_new_placement: bool) {
         let now = self.now.steady;
         if is_new_placement {
@@ -208,7 +207,7 @@
             }
             return;
         }
-        while let Some(held) = self.held.pop_front_if(|held| held.since + HOLD_TIME <= now) {
+        while let Some(held) = self.held.pop_front_if(|held| held.since + MAX_HOLD_TIME <= now) {
             self.decline(held.token, Decline::NotInGroup);
         }
     }
@@ -219,7 +218,7 @@
         for batch in self.persistence.take_through(through) {
             for (written, position) in batch.written.into_iter().zip(positions.by_ref()) {
                 self.note_written(&written, position);
-                if let Written::CopiedSet { set, epoch } = written {
+                if let EntryKind::CopiedSet { set, epoch } = written {
                     self.note_copied_set(set, epoch);
                 }
             }
@@ -229,7 +228,7 @@
         }
     }
 
-    /// All that waits is declined: what was written with later tickets may rest on what failed.
+    /// Declines all waiting requests, because entries with later tickets may depend on entries that failed.
     fn persist_failed(&mut self, through: u64) {
         self.persistence.failed_at = Some(self.now.steady);
         let mut waiting = Vec::new();
@@ -248,10 +247,10 @@
         }
     }
 
-    /// Writes again what has failed, or else an entry without meaning, to learn whether the disk takes anything.
+    /// Writes the failed ends again, or a probe entry if there are none, to find out whether the disk accepts writes.
     fn retry_disk(&mut self) {
         let Some(failed_at) = self.persistence.failed_at else { return };
-        if failed_at + DISK_RETRY > self.now.steady || !self.persistence.is_idle() {
+        if failed_at + DISK_RETRY_DELAY > self.now.steady || !self.persistence.is_idle() {
             return;
         }
         self.persistence.failed_at = Some(self.now.steady);
@@ -261,31 +260,31 @@
         if !self.persistence.has_open_entries()
             && let Ok(entry) = LogEntry::Probe.encode()
         {
-            self.persistence.add(entry, Written::Other);
+            self.persistence.add(entry, EntryKind::Other);
         }
     }
 
     fn forget_due(&self) -> Option<Moment> {
-        Some(self.messages.forget_due(&self.memory())? + FORGET_SLACK as Moment)
+        Some(self.messages.forget_due(&self.end_retention())? + FORGET_DELAY as Moment)
     }
 
-    /// Asks to be woken when the next thing is due, unless it did already.
-    fn ask_to_wake(&mut self) {
+    /// Requests a wake-up for the next due time, unless one was requested already.
+    fn request_wake_up(&mut self) {
         let dues = [
-            self.held.front().map(|held| held.since + HOLD_TIME),
-            self.persistence.failed_at.filter(|_| self.persistence.is_idle()).map(|at| at + DISK_RETRY),
+            self.held.front().map(|held| held.since + MAX_HOLD_TIME),
+            self.persistence.failed_at.filter(|_| self.persistence.is_idle()).map(|at| at + DISK_RETRY_DELAY),
             self.persistence.lazy_due(),
             self.end_notices.due(),
             self.offers.due(),
-            self.offers.judge_at,
+            self.offers.next_owner_check,
             self.copying.as_ref().and_then(Copying::due),
             self.late_facts.due(),
             self.expiry_due(),
-            self.forget_due().map(|due| self.clock.steady(due)),
+            self.forget_due().map(|due| self.clock.steady_at(due)),
             self.reading_due(),
         ];
         let now = self.now.steady;
-        let due = dues.into_iter().flatten().min().map(|due| due.max(now + SHORTEST_WAIT));
+        let due = dues.into_iter().flatten().min().map(|due| due.max(now + MIN_WAKE_DELAY));
         if let Some(due) = due
             && self.wake_at.is_none_or(|at| at <= now || due < at)
         {
--- a/crates/message-log/src/successors.rs
+++ b/crates/message-log/src/successors.rs
@@ -1,4 +1,4 @@
-//! Word to owners that a message has ended for which others wait.
+//! Notifies owners of waiting messages that a predecessor has ended.
 
 use std::collections::VecDeque;
 
@@ -8,37 +8,37 @@
 
 use crate::interface::Effect;
 use crate::message::Message;
-use crate::owners::Judgement;
+use crate::owners::OwnerState;
 use crate::store::Store;
 
 const REPEAT_AFTER: Micros = 1_000_000;
 
-/// How often an owner is told.
-const TIMES: u8 = 5;
+/// How many times a notice is sent to an owner.
+const SEND_COUNT: u8 = 5;
 
-/// Notices that one step sends at most.
-const PER_STEP: usize = 256;
+/// The maximum number of notices that one step handles.
+const MAX_NOTICES_PER_STEP: usize = 256;
 
-/// That a predecessor of an open message has ended.
+/// A pending notice that a predecessor of an open message has ended.
 #[derive(Debug)]
 struct EndNotice {
     due: Micros,
     successor: MessageName,
     predecessor: MessageName,
-    times_left: u8,
+    sends_left: u8,
 }
 
 /// The notices to send, in the order in which they are due.
 #[derive(Debug, Default)]
 pub(crate) struct EndNotices {
     queue: VecDeque<EndNotice>,
-    /// Due at once.
+    /// New notices, which are due at once.
     fresh: VecDeque<EndNotice>,
 }
 
 impl EndNotices {
     pub fn add(&mut self, successor: MessageName, predecessor: MessageName) {
-        self.fresh.push_back(EndNotice { due: 0, successor, predecessor, times_left: TIMES });
+        self.fresh.push_back(EndNotice { due: 0, successor, predecessor, sends_left: SEND_COUNT });
     }
 
     pub fn due(&self) -> Option<Micros> {
@@ -53,32 +53,32 @@
     }
 
     fn repeat(&mut self, mut notice: EndNotice, now: Micros) {
-        notice.times_left -= 1;
+        notice.sends_left -= 1;
         notice.due = now + REPEAT_AFTER;
-        if notice.times_left > 0 {
+        if notice.sends_left > 0 {
             self.queue.push_back(notice);
         }
     }
 }
 
 impl Store {
-    /// Sends the notices that are due to the owners of messages that are still open.
+    /// Sends the due notices to the owners of messages that are still open.
     pub(crate) fn send_end_notices(&mut self) {
         let now = self.now.steady;
-        let mut told: Vec<(pewterseam_wire::identity::NodeName, MessageName)> = Vec::new();
-        for _ in 0..PER_STEP {
+        let mut sent: Vec<(pewterseam_wire::identity::NodeName, MessageName)> = Vec::new();
+        for _ in 0..MAX_NOTICES_PER_STEP {
             let Some(notice) = self.end_notices.take_due(now) else { break };
             let record = self.messages.get(&notice.successor).and_then(Message::open_record);
             let Some(owner) = record.map(|record| record.owner.clone()) else { continue };
-            if self.owners.judge(&owner, now, now) != Judgement::Over {
+            if self.owners.owner_state(&owner, now, now) != OwnerState::Ended {
                 let pair = (owner.name, notice.predecessor.clone());
-                if !told.contains(&pair) {
-                    told.push(pair);
+                if !sent.contains(&pair) {
+                    sent.push(pair);
                 }
             }
             self.end_notices.repeat(notice, now);
         }
-        for (to, name) in told {
+        for (to, name) in sent {
             self.out.push(Effect::Notify { to, notice: StoreNotice::PredecessorEnded { name } });
         }
     }
--- a/crates/storage/src/append_queue.rs
+++ b/crates/storage/src/append_queue.rs
@@ -1,15 +1,15 @@
-//! Writes to a log that must keep their order and may not be skipped.
+//! A queue of log writes that must be performed in order and without gaps.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
 
-/// A write that waits.
+/// A waiting write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PendingWrite {
     /// Append records.
     Append { records: Vec<Bytes>, sequence: u64 },
-    /// Replace all before it by a snapshot.
+    /// Replace all earlier records by a snapshot.
     Snapshot { snapshot: Bytes, sequence: u64 },
 }
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// Hands out one write at a time, and a failed one again before any later one. A log in which a record follows a gap
-/// cannot be read back.
+/// Returns one write at a time, and repeats a failed write before any later one. A log with a gap between records cannot
+/// be read back.
 #[derive(Debug, Default)]
 pub struct AppendQueue {
     waiting: VecDeque<PendingWrite>,
@@ -34,18 +34,18 @@
         self.waiting.push_back(write);
     }
 
-    /// The write to begin now, if there is one and none is under way. Appends that wait in a row are one.
+    /// Starts the next write and returns it, unless a write is running. Consecutive waiting appends are merged into one.
     pub fn begin(&mut self) -> Option<PendingWrite> {
         if self.is_running {
             return None;
         }
-        self.join_appends();
+        self.merge_appends();
         let write = self.waiting.front().cloned()?;
         self.is_running = true;
         Some(write)
     }
 
-    fn join_appends(&mut self) {
+    fn merge_appends(&mut self) {
         while let [PendingWrite::Append { .. }, PendingWrite::Append { .. }, ..] =
             self.waiting.make_contiguous()
         {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The write under way has ended. Returns the sequence up to which everything is durable, where it has not failed.
+    /// Ends the running write. If it succeeded, returns the sequence number up to which everything is durable.
     pub fn finish(&mut self, is_done: bool) -> Option<u64> {
         if !std::mem::take(&mut self.is_running) || !is_done {
             return None;
@@ -65,7 +65,7 @@
         self.waiting.pop_front().map(|write| write.sequence())
     }
 
-    /// A failed write waits to be begun again.
+    /// Whether writes are waiting and none is running, as after a failed write.
     pub fn is_stalled(&self) -> bool {
         !self.is_running && !self.waiting.is_empty()
     }
--- a/crates/storage/src/data_folder.rs
+++ b/crates/storage/src/data_folder.rs
@@ -1,4 +1,4 @@
-//! [`Files`] on a real folder.
+//! An implementation of [`Files`] on a folder of the operating system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -7,14 +7,14 @@
 
 use crate::files::Files;
 
-/// A folder of the operating system. The file last written stays open, so that an append is one system call.
+/// A folder of the operating system. The most recently written file stays open, so that an append is one system call.
 pub struct DataFolder {
     path: PathBuf,
     open: Option<(String, File)>,
 }
 
 impl DataFolder {
-    /// Opens a folder and makes it, with those above it, where it is not there.
+    /// Opens a folder, and creates it and its parents if they do not exist.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         Ok(DataFolder { path: path.to_path_buf(), open: None })
--- a/crates/storage/src/disk_id.rs
+++ b/crates/storage/src/disk_id.rs
@@ -11,20 +11,22 @@
 
 const TEMPORARY_FILE: &str = "disk-id.tmp";
 
-/// The identity drawn when the folder was first used: the same at each opening, another one after the disk was lost.
+/// Returns the random identity that was created when the folder was first used. It stays the same at each opening; a new
+/// identity shows that the disk was lost.
 ///
-/// It is synced with its folder before it is returned, so nobody is told an identity that a loss of power takes away.
+/// The identity and its folder are synced before it is returned, so a power loss cannot erase an identity that others
+/// already know.
 pub fn open_disk_id<F: Files>(files: &mut F) -> Result<u64, StorageError> {
     let names = files.list().map_err(|error| StorageError::io(".", error))?;
     if names.iter().any(|name| name == DISK_ID_FILE) {
         let bytes = read_whole(files, DISK_ID_FILE).map_err(|error| StorageError::io(DISK_ID_FILE, error))?;
         let id = decode(&bytes)
             .ok_or_else(|| StorageError::Damaged { file: DISK_ID_FILE.to_string(), offset: 0 })?;
-        // The name may have survived a loss of power by chance only.
+        // The file name may exist without being synced yet.
         files.sync_folder().map_err(|error| StorageError::io(".", error))?;
         return Ok(id);
     }
-    // Without its identity a folder in use cannot be told from another node's.
+    // A folder with log files but without an identity could belong to another node.
     if names.iter().any(|name| is_log_file(name)) {
         return Err(StorageError::Damaged { file: DISK_ID_FILE.to_string(), offset: 0 });
     }
--- a/crates/storage/src/files.rs
+++ b/crates/storage/src/files.rs
@@ -1,4 +1,4 @@
-//! What the log needs of a folder of files.
+//! The file operations that the log needs.
 
 use std::io;
 
@@ -7,29 +7,29 @@
 /// Nothing is durable before it is synced: a file's bytes by [`Files::sync_file`], and names that were created, renamed
 /// or removed by [`Files::sync_folder`].
 pub trait Files: Send {
-    /// The names of all files, in no order.
+    /// The names of all files, in no particular order.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// Makes an empty file; one of that name is emptied.
+    /// Creates an empty file; an existing file of that name is truncated.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Writes at the end of a file. After an error, any part of the bytes may have been written.
+    /// Appends bytes to a file. After an error, any part of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Reads from an offset into the buffer, as far as the file goes, and returns how much was read.
+    /// Reads from an offset into the buffer, up to the end of the file, and returns the number of bytes read.
     fn read(&mut self, name: &str, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
     /// The length of a file in bytes.
     fn length(&mut self, name: &str) -> io::Result<u64>;
-    /// Cuts a file to a length.
+    /// Truncates a file to a length.
     fn set_length(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Gives a file another name, in the place of a file that may have it.
+    /// Renames a file and replaces a file that already has the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes a file's bytes and length durable.
+    /// Makes the bytes and the length of a file durable.
     fn sync_file(&mut self, name: &str) -> io::Result<()>;
-    /// Makes durable which names exist.
+    /// Makes created, renamed and removed names durable.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// Reads a whole file. For small ones, and for the rare search of a damaged one.
+/// Reads a whole file. Used for small files, and for searching a file with a torn or damaged part.
 pub(crate) fn read_whole<F: Files>(files: &mut F, name: &str) -> io::Result<Vec<u8>> {
     let length = files.length(name)? as usize;
     let mut bytes = vec![0; length];
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,28 +1,28 @@
-//! The bytes of segments and snapshots: file headers and record frames. All numbers are least significant byte first.
+//! The binary format of segments and snapshots: file headers and record frames. All numbers are little-endian.
 //!
-//! A frame says which batch of its file it belongs to and whether it is the last of it. A batch is written only after
-//! the one before it was synced, so a whole frame of a later batch proves that all earlier ones had been synced. That
-//! tells a torn tail, which is lawful after a loss of power, from damage, which is not.
+//! A frame contains the number of its batch in the file, and whether it is the last frame of that batch. A batch is
+//! written only after the previous batch was synced, so an intact frame of a later batch proves that all earlier batches
+//! were synced. This distinguishes a torn tail, which is normal after a power loss, from damage, which is an error.
 
 use crate::error::StorageError;
 
-/// The version that is written.
+/// The format version that this program writes.
 pub const FORMAT_VERSION: u16 = 1;
 
-/// Bytes before the first frame of a file.
+/// The size of the file header, which precedes the first frame.
 pub const SEGMENT_HEADER_BYTES: usize = 32;
 
-/// Bytes before the payload of a frame.
+/// The size of the frame header, which precedes the payload.
 pub const FRAME_HEADER_BYTES: usize = 16;
 
-/// The largest payload.
-pub const MOST_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
+/// The maximum size of a payload.
+pub const MAX_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
 
 const FILE_MAGIC: [u8; 4] = *b"PWSL";
 const FRAME_MAGIC: [u8; 4] = *b"rec1";
 const LAST_OF_BATCH: u32 = 1 << 31;
 
-/// What a file is, as its header says.
+/// The kind of a file, as stated in its header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Segment,
@@ -55,7 +55,7 @@
         bytes
     }
 
-    /// None where the bytes are no header.
+    /// Decodes a file header. Returns `None` if the bytes are not a valid header.
     pub fn decode(file: &str, bytes: &[u8]) -> Result<Option<Self>, StorageError> {
         let Some(bytes) = bytes.get(..SEGMENT_HEADER_BYTES) else { return Ok(None) };
         if bytes[..4] != FILE_MAGIC || crc32fast::hash(&bytes[..28]) != read_u32(bytes, 28) {
@@ -78,18 +78,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FrameHeader {
     pub length: u32,
-    /// Counts the batches of the file from 1.
+    /// The number of the batch in the file, starting at 1.
     pub batch: u32,
     pub is_last_of_batch: bool,
     crc: u32,
 }
 
 impl FrameHeader {
-    /// Reads a header without its payload. None where the bytes cannot be one.
+    /// Decodes a frame header without checking its payload. Returns `None` if the bytes are not a valid header.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let bytes = bytes.get(..FRAME_HEADER_BYTES)?;
         let length = read_u32(bytes, 4);
-        if bytes[..4] != FRAME_MAGIC || length == 0 || length as usize > MOST_PAYLOAD_BYTES {
+        if bytes[..4] != FRAME_MAGIC || length == 0 || length as usize > MAX_PAYLOAD_BYTES {
             return None;
         }
         let batch = read_u32(bytes, 8);
@@ -101,13 +101,13 @@
         })
     }
 
-    /// Whether this is the payload that the frame was written with.
-    pub fn fits(&self, payload: &[u8]) -> bool {
+    /// Whether the payload matches the length and the checksum in the header.
+    pub fn matches(&self, payload: &[u8]) -> bool {
         payload.len() == self.length as usize
             && self.crc == frame_crc(self.length, self.batch_field(), payload)
     }
 
-    /// Bytes of the whole frame.
+    /// The size of the frame with its header.
     pub fn frame_bytes(&self) -> u64 {
         FRAME_HEADER_BYTES as u64 + u64::from(self.length)
     }
@@ -121,7 +121,7 @@
 pub(crate) fn write_frame(
     buffer: &mut Vec<u8>, payload: &[u8], batch: u32, is_last_of_batch: bool,
 ) -> Result<(), StorageError> {
-    if payload.is_empty() || payload.len() > MOST_PAYLOAD_BYTES {
+    if payload.is_empty() || payload.len() > MAX_PAYLOAD_BYTES {
         return Err(StorageError::PayloadSize(payload.len()));
     }
     let length = payload.len() as u32;
@@ -134,14 +134,14 @@
     Ok(())
 }
 
-/// The offset of the first whole frame at or after `start` of which `is_wanted` holds.
+/// Finds the first intact frame at or after `start` for which `is_wanted` returns true, and returns its offset and header.
 pub(crate) fn find_frame(
     bytes: &[u8], start: usize, is_wanted: impl Fn(&FrameHeader) -> bool,
 ) -> Option<(usize, FrameHeader)> {
     (start..bytes.len().saturating_sub(FRAME_HEADER_BYTES)).find_map(|offset| {
         let header = FrameHeader::decode(&bytes[offset..])?;
         let payload = bytes[offset + FRAME_HEADER_BYTES..].get(..header.length as usize)?;
-        (is_wanted(&header) && header.fits(payload)).then_some((offset, header))
+        (is_wanted(&header) && header.matches(payload)).then_some((offset, header))
     })
 }
 
--- a/crates/storage/src/frame_reader.rs
+++ b/crates/storage/src/frame_reader.rs
@@ -6,33 +6,33 @@
 
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// A whole frame.
+/// An intact frame.
 pub(crate) struct Frame<'a> {
     pub header: FrameHeader,
     pub offset: u64,
     pub payload: &'a [u8],
 }
 
-/// What stands at the reader's place.
-pub(crate) enum Next<'a> {
+/// The result of reading the next frame.
+pub(crate) enum NextFrame<'a> {
     Frame(Frame<'a>),
     /// The file ends here.
     End,
-    /// No whole frame begins here.
-    Bad {
+    /// No intact frame begins at this offset.
+    Invalid {
         offset: u64,
     },
 }
 
-/// Reads frames one after the other.
+/// Reads the frames of a file in order.
 pub(crate) struct FrameReader<'a, F> {
     files: &'a mut F,
     name: &'a str,
     length: u64,
-    /// The place of the next frame.
+    /// The offset of the next frame.
     offset: u64,
     buffer: Vec<u8>,
-    /// The place of the buffer's first byte.
+    /// The file offset of the buffer's first byte.
     buffer_offset: u64,
 }
 
@@ -42,34 +42,35 @@
         Ok(FrameReader { files, name, length, offset, buffer: Vec::new(), buffer_offset: offset })
     }
 
-    pub fn next_frame(&mut self) -> Result<Next<'_>, StorageError> {
+    pub fn next_frame(&mut self) -> Result<NextFrame<'_>, StorageError> {
         let offset = self.offset;
         if offset >= self.length {
-            return Ok(Next::End);
+            return Ok(NextFrame::End);
         }
         let Some(header) = self.bytes(offset, FRAME_HEADER_BYTES)?.and_then(FrameHeader::decode) else {
-            return Ok(Next::Bad { offset });
+            return Ok(NextFrame::Invalid { offset });
         };
         let payload_offset = offset + FRAME_HEADER_BYTES as u64;
         if payload_offset + u64::from(header.length) > self.length {
-            return Ok(Next::Bad { offset });
+            return Ok(NextFrame::Invalid { offset });
         }
-        let is_whole =
-            self.bytes(payload_offset, header.length as usize)?.is_some_and(|payload| header.fits(payload));
-        if !is_whole {
-            return Ok(Next::Bad { offset });
+        let is_intact = self
+            .bytes(payload_offset, header.length as usize)?
+            .is_some_and(|payload| header.matches(payload));
+        if !is_intact {
+            return Ok(NextFrame::Invalid { offset });
         }
         self.offset = offset + header.frame_bytes();
         match self.bytes(payload_offset, header.length as usize)? {
-            Some(payload) => Ok(Next::Frame(Frame { header, offset, payload })),
-            None => Ok(Next::Bad { offset }),
+            Some(payload) => Ok(NextFrame::Frame(Frame { header, offset, payload })),
+            None => Ok(NextFrame::Invalid { offset }),
         }
     }
 
-    /// Bytes of the file, read ahead; none where the file is shorter.
+    /// Returns bytes of the file through the read-ahead buffer, or `None` if the file ends before them.
     fn bytes(&mut self, offset: u64, length: usize) -> Result<Option<&[u8]>, StorageError> {
-        let held = self.buffer_offset + self.buffer.len() as u64;
-        if offset < self.buffer_offset || offset + length as u64 > held {
+        let buffer_end = self.buffer_offset + self.buffer.len() as u64;
+        if offset < self.buffer_offset || offset + length as u64 > buffer_end {
             let wanted = length.max(READ_AHEAD_BYTES).min((self.length - offset) as usize);
             self.buffer.clear();
             self.buffer.resize(wanted, 0);
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! A log in segments with snapshots beside, and the identity of the data folder.
+//! A segmented log with optional snapshots, and the identity of the data folder.
 //!
 //! [`Log`] is synchronous and does its I/O through the trait [`Files`], of which there are two implementations:
 //! [`DataFolder`] on real files and [`SimulatedFiles`] in memory with power losses. [`LogWriter`] runs a log on a
-//! thread of its own for callers that may not wait for a disk. The format on disk is described in `docs/storage.md`.
+//! separate thread for callers that must not block on a disk. The format on disk is described in `docs/storage.md`.
 
 mod append_queue;
 mod data_folder;
@@ -23,7 +23,7 @@
 pub use disk_id::{DISK_ID_FILE, open_disk_id};
 pub use error::StorageError;
 pub use files::Files;
-pub use format::{FORMAT_VERSION, FRAME_HEADER_BYTES, MOST_PAYLOAD_BYTES, SEGMENT_HEADER_BYTES};
+pub use format::{FORMAT_VERSION, FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES, SEGMENT_HEADER_BYTES};
 pub use log::{Log, LogOptions, Position};
 pub use recovery::{Recovered, RecoveredFrom};
 pub use salvage::{SalvageReport, salvage};
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: appends in batches of one sync each, reads back, removal of old segments.
+//! The log: appends batches with one sync each, reads records back, and removes old segments.
 
 use std::collections::VecDeque;
 
@@ -12,16 +12,16 @@
 use crate::recovery::{self, Recovered};
 use crate::snapshot;
 
-/// A segment of this size is followed by a new one.
+/// The default size at which a new segment is started.
 const SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
 
-/// The write buffer is given back when it has grown beyond this.
-const KEPT_BUFFER_BYTES: usize = 128 * 1024;
+/// The write buffer is freed after a write if its capacity exceeds this size.
+const MAX_KEPT_BUFFER_BYTES: usize = 128 * 1024;
 
-/// How a log is kept.
+/// The options of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogOptions {
-    /// A segment that has reached this size is followed by a new one.
+    /// The size at which a segment is complete and a new one is started.
     pub segment_bytes: u64,
 }
 
@@ -31,18 +31,18 @@
     }
 }
 
-/// Where a record lies.
+/// The location of a record in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
     /// The number of the segment; later segments have higher numbers.
     pub segment: u64,
-    /// The place of the record's frame in the segment.
+    /// The offset of the record's frame in the segment.
     pub offset: u32,
-    /// Bytes of the payload.
+    /// The size of the payload.
     pub length: u32,
 }
 
-/// A segment that exists.
+/// An existing segment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Segment {
     pub number: u64,
@@ -50,28 +50,29 @@
     pub bytes: u64,
 }
 
-/// A log in a folder. The highest sequence number is that of the newest record; the first record has 1.
+/// A log in a folder. Records have consecutive sequence numbers, starting at 1.
 pub struct Log<F> {
     pub(crate) files: F,
     options: LogOptions,
-    /// In order; the last one is written to.
+    /// The segments in order; records are appended to the last one.
     pub(crate) segments: VecDeque<Segment>,
     pub(crate) next_sequence: u64,
     /// The number that the next segment gets.
     pub(crate) next_segment: u64,
-    /// The last batch of the last segment that was synced.
+    /// The number of the last synced batch of the last segment.
     batch: u32,
-    /// The last segment takes no more records.
+    /// Whether the last segment accepts no more records.
     is_sealed: bool,
     has_snapshot: bool,
-    /// The last segment may hold bytes after its synced length.
+    /// Whether the last segment may hold bytes beyond its synced length.
     needs_repair: bool,
     buffer: Vec<u8>,
 }
 
 impl<F: Files> Log<F> {
-    /// Opens the log of a folder, which may be empty, and tells `visit` of each record: those of the newest snapshot
-    /// first, then those after it, in order. A torn tail is cut off. All that was told is synced when this returns.
+    /// Opens the log of a folder, which may be empty, and passes each record to `visit`: first the records of the newest
+    /// snapshot, then those after it, in order. A torn tail is truncated. All visited records are synced when this
+    /// returns.
     pub fn open(
         mut files: F, options: LogOptions, visit: &mut dyn FnMut(Recovered<'_>),
     ) -> Result<Self, StorageError> {
@@ -95,7 +96,7 @@
         self.next_sequence - 1
     }
 
-    /// Bytes of all segments.
+    /// The size of all segments together.
     pub fn bytes(&self) -> u64 {
         self.segments.iter().map(|segment| segment.bytes).sum()
     }
@@ -105,8 +106,8 @@
         self.segments.iter().map(|segment| (segment.number, segment.bytes))
     }
 
-    /// Writes records and syncs them with one sync. After an error none of them counts as written; one or the other may
-    /// come back all the same if the process ends before a later append succeeds.
+    /// Writes records and syncs them with one sync. After an error none of them counts as written; some of them may still
+    /// be recovered if the process ends before a later append succeeds.
     pub fn append(&mut self, payloads: &[Bytes]) -> Result<Vec<Position>, StorageError> {
         if payloads.is_empty() {
             return Ok(Vec::new());
@@ -127,7 +128,7 @@
         }
         self.batch += 1;
         self.next_sequence += payloads.len() as u64;
-        if self.buffer.capacity() > KEPT_BUFFER_BYTES {
+        if self.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
             self.buffer = Vec::new();
         }
         Ok(positions)
@@ -153,7 +154,7 @@
         Ok(())
     }
 
-    /// Cuts off what a failed append may have left.
+    /// Truncates the bytes that a failed append may have left.
     fn repair(&mut self) -> Result<(), StorageError> {
         let Some(last) = self.segments.back().filter(|_| self.needs_repair) else { return Ok(()) };
         let name = segment_name(last.number);
@@ -163,7 +164,8 @@
         Ok(())
     }
 
-    /// The header is synced before any record is written, so that a segment without one holds none.
+    /// Starts a new segment. The header is synced before any record is written, so a segment without a header holds no
+    /// records.
     fn start_segment(&mut self) -> Result<(), StorageError> {
         let number = self.next_segment;
         let name = segment_name(number);
@@ -190,19 +192,19 @@
             .files
             .read(&name, u64::from(position.offset), &mut bytes)
             .map_err(|error| StorageError::io(&name, error))?;
-        let is_whole = count == bytes.len()
-            && FrameHeader::decode(&bytes).is_some_and(|header| header.fits(&bytes[FRAME_HEADER_BYTES..]));
-        if !is_whole {
+        let is_intact = count == bytes.len()
+            && FrameHeader::decode(&bytes).is_some_and(|header| header.matches(&bytes[FRAME_HEADER_BYTES..]));
+        if !is_intact {
             return Err(StorageError::NoRecord { file: name, offset: u64::from(position.offset) });
         }
         Ok(Bytes::from(bytes).slice(FRAME_HEADER_BYTES..))
     }
 
-    /// Removes all segments with lower numbers, except the one that is written to.
+    /// Removes all segments with lower numbers, except the one that records are appended to.
     ///
-    /// Each removal is synced before the next, so that after a loss of power no segment is missing between two others.
-    /// This is for callers that write what they still need again. A log is made shorter either in this way or by
-    /// snapshots, as after a snapshot all later segments must be there.
+    /// Each removal is synced before the next one, so that after a power loss no segment is missing between two others.
+    /// Callers must first copy the records that they still need to the end of the log. A log is shortened either in this
+    /// way or by snapshots, because after a snapshot all later segments must exist.
     pub fn remove_before(&mut self, segment: u64) -> Result<(), StorageError> {
         if self.has_snapshot {
             return Err(StorageError::HasSnapshot);
@@ -227,8 +229,8 @@
         Ok(())
     }
 
-    /// Writes a snapshot that stands for all records up to and including `covers`, then removes the segments and the
-    /// snapshots that it makes needless. While it is written the older ones stay whole.
+    /// Writes a snapshot that replaces all records up to and including `covers`, then removes the segments and snapshots
+    /// that it makes obsolete. Until the new snapshot is complete, the older files are kept.
     pub fn snapshot<I>(&mut self, covers: u64, payloads: I) -> Result<(), StorageError>
     where
         I: IntoIterator<Item = Bytes>,
@@ -237,14 +239,14 @@
         self.has_snapshot = true;
         snapshot::write(&mut self.files, covers, self.next_segment, payloads)?;
         snapshot::remove_older(&mut self.files, covers)?;
-        while self.end_of_first() <= Some(covers) && !self.segments.is_empty() {
+        while self.last_sequence_of_first() <= Some(covers) && !self.segments.is_empty() {
             self.remove_first()?;
         }
         Ok(())
     }
 
     /// The sequence number of the last record of the first segment.
-    fn end_of_first(&self) -> Option<u64> {
+    fn last_sequence_of_first(&self) -> Option<u64> {
         match self.segments.get(1) {
             Some(second) => Some(second.first_sequence - 1),
             None => self.segments.front().map(|_| self.last_sequence()),
@@ -252,7 +254,7 @@
     }
 }
 
-/// The file of a segment.
+/// The file name of a segment.
 pub(crate) fn segment_name(number: u64) -> String {
     format!("segment-{number:016x}")
 }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,11 +1,11 @@
-//! Opens the files that a log left: which count, where they end, and what is in them.
+//! Recovers a log from its files: selects the valid files, finds their ends and reads their records.
 
 use std::collections::VecDeque;
 
 use crate::error::StorageError;
 use crate::files::{Files, read_whole};
 use crate::format::{FileHeader, FileKind, FrameHeader, SEGMENT_HEADER_BYTES, find_frame};
-use crate::frame_reader::{FrameReader, Next};
+use crate::frame_reader::{FrameReader, NextFrame};
 use crate::log::{Position, Segment, segment_name};
 use crate::snapshot;
 
@@ -18,7 +18,7 @@
     pub payload: &'a [u8],
 }
 
-/// Where a record was found.
+/// The file that a record was found in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveredFrom {
     /// In the snapshot that covers all records up to this sequence number.
@@ -27,8 +27,8 @@
     Segment { sequence: u64, position: Position },
 }
 
-/// What is there to go on with.
-pub(crate) struct Found {
+/// The state of the log after recovery, from which writing continues.
+pub(crate) struct RecoveredLog {
     pub segments: VecDeque<Segment>,
     pub next_sequence: u64,
     pub next_segment: u64,
@@ -37,7 +37,7 @@
     pub has_snapshot: bool,
 }
 
-/// How a segment ended.
+/// The end of a segment.
 struct SegmentEnd {
     records: u64,
     bytes: u64,
@@ -45,9 +45,9 @@
     is_torn: bool,
 }
 
-/// Whether a name is one that a log gives to its files.
+/// Whether a file name is that of a segment or a snapshot.
 pub(crate) fn is_log_file(name: &str) -> bool {
-    segment_number(name).is_some() || snapshot::covers(name).is_some()
+    segment_number(name).is_some() || snapshot::covered_sequence(name).is_some()
 }
 
 fn segment_number(name: &str) -> Option<u64> {
@@ -62,12 +62,12 @@
 
 pub(crate) fn recover<F: Files>(
     files: &mut F, visit: &mut dyn FnMut(Recovered<'_>),
-) -> Result<Found, StorageError> {
+) -> Result<RecoveredLog, StorageError> {
     let names = files.list().map_err(|error| StorageError::io(".", error))?;
     for name in names.iter().filter(|name| snapshot::is_temporary(name)) {
         files.remove(name).map_err(|error| StorageError::io(name, error))?;
     }
-    let newest = names.iter().filter_map(|name| snapshot::covers(name)).max();
+    let newest = names.iter().filter_map(|name| snapshot::covered_sequence(name)).max();
     let mut covered = 0;
     let mut next_segment = 1;
     if let Some(covers) = newest {
@@ -77,8 +77,8 @@
     let mut numbers: Vec<u64> = names.iter().filter_map(|name| segment_number(name)).collect();
     numbers.sort_unstable();
     let segments = read_segment_headers(files, &numbers)?;
-    let segments = drop_covered(files, segments, newest)?;
-    let mut found = Found {
+    let segments = remove_covered_segments(files, segments, newest)?;
+    let mut found = RecoveredLog {
         segments,
         next_sequence: covered + 1,
         next_segment,
@@ -87,7 +87,7 @@
         has_snapshot: newest.is_some(),
     };
     read_segments(files, &mut found, newest, visit)?;
-    // What a process wrote and did not sync may be in the cache only; names likewise.
+    // Data and file names that an earlier process did not sync may exist only in the cache.
     if let Some(last) = found.segments.back() {
         let name = segment_name(last.number);
         files.sync_file(&name).map_err(|error| StorageError::io(&name, error))?;
@@ -96,7 +96,8 @@
     Ok(found)
 }
 
-/// A last segment without a whole header holds no record, as the header is synced before them; it is removed.
+/// Reads the headers of all segments. A last segment without an intact header is removed: it holds no records, because
+/// the header is synced before them.
 fn read_segment_headers<F: Files>(files: &mut F, numbers: &[u64]) -> Result<VecDeque<Segment>, StorageError> {
     let mut segments = VecDeque::new();
     for (index, number) in numbers.iter().enumerate() {
@@ -117,8 +118,8 @@
     Ok(segments)
 }
 
-/// Removes segments that the snapshot covers, of which some may have come back after a loss of power.
-fn drop_covered<F: Files>(
+/// Removes segments that the snapshot covers. A power loss can bring removed segments back.
+fn remove_covered_segments<F: Files>(
     files: &mut F, mut segments: VecDeque<Segment>, newest: Option<u64>,
 ) -> Result<VecDeque<Segment>, StorageError> {
     let Some(covered) = newest else { return Ok(segments) };
@@ -140,7 +141,7 @@
 }
 
 fn read_segments<F: Files>(
-    files: &mut F, found: &mut Found, newest: Option<u64>, visit: &mut dyn FnMut(Recovered<'_>),
+    files: &mut F, found: &mut RecoveredLog, newest: Option<u64>, visit: &mut dyn FnMut(Recovered<'_>),
 ) -> Result<(), StorageError> {
     let covered = newest.unwrap_or(0);
     let count = found.segments.len();
@@ -157,7 +158,7 @@
         let is_last = index + 1 == count;
         let end = read_segment(files, *segment, covered, visit)?;
         if end.is_torn {
-            cut_torn_tail(files, *segment, &end, is_last)?;
+            truncate_torn_tail(files, *segment, &end, is_last)?;
         }
         segment.bytes = end.bytes;
         let next = segment.first_sequence + end.records;
@@ -167,7 +168,8 @@
         found.batch = end.last.map_or(0, |last| last.batch);
         found.is_sealed = end.is_torn || end.last.is_some_and(|last| !last.is_last_of_batch);
     }
-    // A segment that ends before the snapshot does cannot be continued: its next record would have a covered number.
+    // Records cannot be appended to a segment that ends before the snapshot does: the next record would get a sequence
+    // number that the snapshot covers.
     if expected.is_some_and(|expected| expected <= covered) {
         found.is_sealed = true;
     }
@@ -182,7 +184,7 @@
     let mut reader = FrameReader::new(files, &name, end.bytes)?;
     loop {
         match reader.next_frame()? {
-            Next::Frame(frame) => {
+            NextFrame::Frame(frame) => {
                 let sequence = segment.first_sequence + end.records;
                 if sequence > covered {
                     let position = Position {
@@ -199,8 +201,8 @@
                 end.bytes = frame.offset + frame.header.frame_bytes();
                 end.last = Some(frame.header);
             }
-            Next::End => return Ok(end),
-            Next::Bad { .. } => {
+            NextFrame::End => return Ok(end),
+            NextFrame::Invalid { .. } => {
                 end.is_torn = true;
                 return Ok(end);
             }
@@ -208,9 +210,9 @@
     }
 }
 
-/// Cuts off a tail that was never synced. A whole frame of a later batch than the torn one proves that the torn one
-/// had been synced: then this is damage.
-fn cut_torn_tail<F: Files>(
+/// Truncates a tail that was never synced. An intact frame of a batch after the torn one proves that the torn batch was
+/// synced; in that case the file is damaged.
+fn truncate_torn_tail<F: Files>(
     files: &mut F, segment: Segment, end: &SegmentEnd, is_last: bool,
 ) -> Result<(), StorageError> {
     let name = segment_name(segment.number);
--- a/crates/storage/src/salvage.rs
+++ b/crates/storage/src/salvage.rs
@@ -1,4 +1,4 @@
-//! Reads whatever is whole in a damaged log.
+//! Reads the intact records of a damaged log.
 
 use crate::error::StorageError;
 use crate::files::{Files, read_whole};
@@ -8,14 +8,14 @@
 /// What [`salvage`] found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SalvageReport {
-    /// Records that were whole.
+    /// The number of intact records.
     pub whole: u64,
-    /// Stretches that held no whole record: file, first byte, bytes.
+    /// The ranges without an intact record: file name, offset and size in bytes.
     pub damaged: Vec<(String, u64, u64)>,
 }
 
-/// Tells of every whole record in all snapshots and segments, by file name in order, and changes nothing. Nobody may
-/// take what it tells for complete: a record whose end lies in a damaged part looks open.
+/// Passes every intact record of all snapshots and segments to `visit`, in the order of file names, and changes nothing.
+/// The result may be incomplete: a message whose end lies in a damaged range looks open.
 pub fn salvage<F: Files>(
     files: &mut F, visit: &mut dyn FnMut(&str, &[u8]),
 ) -> Result<SalvageReport, StorageError> {
@@ -25,17 +25,17 @@
     let mut report = SalvageReport::default();
     for name in names {
         let bytes = read_whole(files, &name).map_err(|error| StorageError::io(&name, error))?;
-        let mut place = SEGMENT_HEADER_BYTES.min(bytes.len());
-        while place < bytes.len() {
-            let found = find_frame(&bytes, place, |_| true);
+        let mut position = SEGMENT_HEADER_BYTES.min(bytes.len());
+        while position < bytes.len() {
+            let found = find_frame(&bytes, position, |_| true);
             let start = found.map_or(bytes.len(), |(offset, _)| offset);
-            if start > place {
-                report.damaged.push((name.clone(), place as u64, (start - place) as u64));
+            if start > position {
+                report.damaged.push((name.clone(), position as u64, (start - position) as u64));
             }
             let Some((offset, header)) = found else { break };
-            place = offset + header.frame_bytes() as usize;
+            position = offset + header.frame_bytes() as usize;
             report.whole += 1;
-            visit(&name, &bytes[offset + FRAME_HEADER_BYTES..place]);
+            visit(&name, &bytes[offset + FRAME_HEADER_BYTES..position]);
         }
     }
     Ok(report)
--- a/crates/storage/src/simulated.rs
+++ b/crates/storage/src/simulated.rs
@@ -1,4 +1,4 @@
-//! [`Files`] in memory, with losses of power and other trouble, for tests.
+//! An in-memory implementation of [`Files`] with simulated power losses and other faults, for tests.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,7 +8,7 @@
 
 type FileNumber = u64;
 
-/// A folder in memory. Clones share it: one may be in a log while another brings trouble on it.
+/// A folder in memory. Clones share the folder, so that a test can inject faults while a log uses it.
 #[derive(Clone, Default)]
 pub struct SimulatedFiles {
     state: Arc<Mutex<State>>,
@@ -17,7 +17,7 @@
 #[derive(Default)]
 struct State {
     names: BTreeMap<String, FileNumber>,
-    /// The names that a loss of power leaves in any case.
+    /// The names that always survive a power loss.
     synced_names: BTreeMap<String, FileNumber>,
     name_changes: Vec<NameChange>,
     files: BTreeMap<FileNumber, FileState>,
@@ -50,9 +50,9 @@
         Self::default()
     }
 
-    /// Loses power. Each file keeps what its last sync covered; each write after that is there, missing or torn, and
-    /// each change of names since the last sync of the folder is kept or lost. One loss in four keeps nothing at all
-    /// of what was not synced.
+    /// Simulates a power loss. Each file keeps the bytes of its last sync. Each later write is kept, lost or torn, and
+    /// each name change since the last sync of the folder is kept or lost. One power loss in four loses everything that
+    /// was not synced.
     pub fn lose_power(&self, seed: u64) {
         let mut state = self.lock();
         let mut random = Random(seed);
@@ -83,32 +83,32 @@
         state.failing_syncs = 0;
     }
 
-    /// Loses the disk: the folder is empty.
+    /// Simulates the loss of the disk: the folder is empty afterwards.
     pub fn lose_disk(&self) {
         *self.lock() = State::default();
     }
 
-    /// Sets how many bytes fit on the disk; none for any number.
+    /// Sets the capacity of the disk in bytes; `None` for no limit.
     pub fn set_capacity(&self, capacity: Option<u64>) {
         self.lock().capacity = capacity;
     }
 
-    /// Lets so many syncs fail from now on.
+    /// Makes the next `count` syncs fail.
     pub fn fail_syncs(&self, count: u32) {
         self.lock().failing_syncs = count;
     }
 
-    /// How many syncs of files and of the folder there were.
+    /// The number of syncs of files and of the folder so far.
     pub fn syncs(&self) -> u64 {
         self.lock().syncs
     }
 
-    /// Bytes of all files.
+    /// The size of all files together.
     pub fn bytes(&self) -> u64 {
         self.lock().used()
     }
 
-    /// Turns bits of a synced byte; nothing where the file has no such byte.
+    /// Flips bits of a synced byte. Does nothing if the file has no such byte.
     pub fn damage(&self, name: &str, offset: usize) {
         let mut state = self.lock();
         let Some(file) = state.file(name) else { return };
@@ -119,12 +119,12 @@
         }
     }
 
-    /// The bytes of a file; none where it is not there.
+    /// The bytes of a file, or `None` if it does not exist.
     pub fn content(&self, name: &str) -> Option<Vec<u8>> {
         self.lock().file(name).map(|file| file.bytes.clone())
     }
 
-    /// Puts a file there, synced.
+    /// Adds a file with synced content.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let mut state = self.lock();
         let number = state.add_file(name);
@@ -143,7 +143,7 @@
         self.files.get_mut(self.names.get(name)?)
     }
 
-    fn existing(&mut self, name: &str) -> io::Result<&mut FileState> {
+    fn file_or_not_found(&mut self, name: &str) -> io::Result<&mut FileState> {
         self.file(name).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
@@ -176,11 +176,11 @@
     fn lose_power(&mut self, random: &mut Random, keeps_nothing: bool) {
         let mut bytes = std::mem::take(&mut self.synced);
         for write in std::mem::take(&mut self.writes) {
-            let fate = if keeps_nothing { 0 } else { random.below(3) };
+            let outcome = if keeps_nothing { 0 } else { random.below(3) };
             match write {
-                Write::SetLength(length) if fate > 0 => bytes.resize(length, 0),
-                Write::At { offset, bytes: written } if fate > 0 => {
-                    let kept = if fate == 1 { written.len() } else { random.below(written.len() + 1) };
+                Write::SetLength(length) if outcome > 0 => bytes.resize(length, 0),
+                Write::At { offset, bytes: written } if outcome > 0 => {
+                    let kept = if outcome == 1 { written.len() } else { random.below(written.len() + 1) };
                     if bytes.len() < offset + kept {
                         bytes.resize(offset + kept, 0);
                     }
@@ -215,7 +215,7 @@
         let mut state = self.lock();
         let room = state.capacity.map_or(u64::MAX, |capacity| capacity.saturating_sub(state.used()));
         let fitting = bytes.len().min(usize::try_from(room).unwrap_or(usize::MAX));
-        let file = state.existing(name)?;
+        let file = state.file_or_not_found(name)?;
         let offset = file.bytes.len();
         file.bytes.extend_from_slice(&bytes[..fitting]);
         file.writes.push(Write::At { offset, bytes: bytes[..fitting].to_vec() });
@@ -224,7 +224,7 @@
 
     fn read(&mut self, name: &str, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
         let mut state = self.lock();
-        let file = state.existing(name)?;
+        let file = state.file_or_not_found(name)?;
         let rest = file.bytes.get(offset as usize..).unwrap_or_default();
         let count = rest.len().min(buffer.len());
         buffer[..count].copy_from_slice(&rest[..count]);
@@ -232,12 +232,12 @@
     }
 
     fn length(&mut self, name: &str) -> io::Result<u64> {
-        self.lock().existing(name).map(|file| file.bytes.len() as u64)
+        self.lock().file_or_not_found(name).map(|file| file.bytes.len() as u64)
     }
 
     fn set_length(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut state = self.lock();
-        let file = state.existing(name)?;
+        let file = state.file_or_not_found(name)?;
         file.bytes.resize(length as usize, 0);
         file.writes.push(Write::SetLength(length as usize));
         Ok(())
@@ -261,7 +261,7 @@
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.lock();
         state.count_sync()?;
-        let file = state.existing(name)?;
+        let file = state.file_or_not_found(name)?;
         file.synced = file.bytes.clone();
         file.writes.clear();
         Ok(())
@@ -276,7 +276,7 @@
     }
 }
 
-/// SplitMix64: small, and the same for a seed on all machines.
+/// The SplitMix64 generator: small, and deterministic for a seed on all machines.
 struct Random(u64);
 
 impl Random {
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,25 +1,25 @@
-//! Snapshots: written whole under a temporary name, synced, renamed, and the folder synced.
+//! Snapshots: each is written under a temporary name, synced and renamed; then the folder is synced.
 
 use bytes::Bytes;
 
 use crate::error::StorageError;
 use crate::files::Files;
 use crate::format::{FileHeader, FileKind, SEGMENT_HEADER_BYTES, write_frame};
-use crate::frame_reader::{FrameReader, Next};
+use crate::frame_reader::{FrameReader, NextFrame};
 use crate::recovery::{Recovered, RecoveredFrom, read_header};
 
 const PREFIX: &str = "snapshot-";
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Bytes that are gathered for one write.
-const PIECE_BYTES: usize = 128 * 1024;
+/// The buffer size at which a write is issued.
+const WRITE_BYTES: usize = 128 * 1024;
 
 pub(crate) fn name(covers: u64) -> String {
     format!("{PREFIX}{covers:016x}")
 }
 
-/// What a snapshot's file name says that it covers.
-pub(crate) fn covers(name: &str) -> Option<u64> {
+/// Parses the last covered sequence number from the file name of a snapshot.
+pub(crate) fn covered_sequence(name: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_prefix(PREFIX)?, 16).ok()
 }
 
@@ -42,7 +42,7 @@
     let mut payloads = payloads.into_iter().peekable();
     while let Some(payload) = payloads.next() {
         write_frame(&mut buffer, &payload, 1, payloads.peek().is_none())?;
-        if buffer.len() >= PIECE_BYTES {
+        if buffer.len() >= WRITE_BYTES {
             files.append(&temporary, &buffer).map_err(io)?;
             buffer.clear();
         }
@@ -53,18 +53,18 @@
     files.sync_folder().map_err(io)
 }
 
-/// Removes all snapshots but the one that covers up to here.
+/// Removes all snapshots except the one that covers up to the sequence number `newest`.
 pub(crate) fn remove_older<F: Files>(files: &mut F, newest: u64) -> Result<(), StorageError> {
     for file in files.list().map_err(|error| StorageError::io(".", error))? {
-        if covers(&file).is_some_and(|covers| covers != newest) || is_temporary(&file) {
+        if covered_sequence(&file).is_some_and(|covers| covers != newest) || is_temporary(&file) {
             files.remove(&file).map_err(|error| StorageError::io(&file, error))?;
         }
     }
     files.sync_folder().map_err(|error| StorageError::io(".", error))
 }
 
-/// Tells of the records of a snapshot and returns its header. It was synced before it got its name, so whatever is
-/// wrong with it is damage.
+/// Passes the records of a snapshot to `visit` and returns its header. A snapshot was synced before it was renamed, so
+/// any defect is damage.
 pub(crate) fn read<F: Files>(
     files: &mut F, covers: u64, visit: &mut dyn FnMut(Recovered<'_>),
 ) -> Result<FileHeader, StorageError> {
@@ -77,14 +77,14 @@
     let mut end = SEGMENT_HEADER_BYTES as u64;
     loop {
         match reader.next_frame()? {
-            Next::Frame(frame) => {
+            NextFrame::Frame(frame) => {
                 is_complete = frame.header.is_last_of_batch;
                 end = frame.offset + frame.header.frame_bytes();
                 visit(Recovered { from: RecoveredFrom::Snapshot { covers }, payload: frame.payload });
             }
-            Next::End if is_complete => return Ok(header),
-            Next::End => return Err(StorageError::Damaged { file, offset: end }),
-            Next::Bad { offset } => return Err(StorageError::Damaged { file, offset }),
+            NextFrame::End if is_complete => return Ok(header),
+            NextFrame::End => return Err(StorageError::Damaged { file, offset: end }),
+            NextFrame::Invalid { offset } => return Err(StorageError::Damaged { file, offset }),
         }
     }
 }
