--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! Runs a log on a thread of its own.
+//! Runs a log on a separate thread.
 
 use std::io;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -11,18 +11,18 @@
 use crate::files::Files;
 use crate::log::{Log, Position};
 
-/// Bytes that are gathered at most for one sync.
-const MOST_BATCH_BYTES: usize = 1024 * 1024;
+/// Appends are merged into one sync up to this size.
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
 
 const STACK_BYTES: usize = 256 * 1024;
 
-/// What a [`LogWriter`] tells of its work, in the order of the calls.
+/// An event that a [`LogWriter`] reports, in the order of the calls.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// All appends up to and including this ticket that were not told of before are synced; where their records lie,
-    /// in order.
+    /// All appends up to and including this ticket that were not reported before are synced. The positions are those of
+    /// their records, in order.
     Synced { through: u64, positions: Vec<Position> },
-    /// All appends up to and including this ticket that were not told of before have failed.
+    /// All appends up to and including this ticket that were not reported before have failed.
     Failed { through: u64, error: StorageError },
     /// A record that was read back.
     Read { token: u64, result: Result<Bytes, StorageError> },
@@ -30,13 +30,13 @@
     Maintained(Result<(), StorageError>),
 }
 
-/// The writer's thread has ended.
+/// The error returned when the writer's thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriterStopped;
 
 impl std::fmt::Display for WriterStopped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the log's thread has ended")
+        f.write_str("the log writer thread has ended")
     }
 }
 
@@ -49,14 +49,14 @@
     Snapshot { covers: u64, payloads: Vec<Bytes> },
 }
 
-/// A log on its own thread: all appends that wait are written and synced together.
+/// A log on its own thread. All waiting appends are written and synced together.
 pub struct LogWriter {
     commands: Option<Sender<Command>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl LogWriter {
-    /// Starts the thread. It ends when the writer is dropped, after all that was handed over is done.
+    /// Starts the thread. The thread ends when the writer is dropped, after it has executed all commands.
     pub fn start<F: Files + 'static>(log: Log<F>, events: UnboundedSender<WriterEvent>) -> io::Result<Self> {
         let (commands, received) = channel();
         let thread = std::thread::Builder::new()
@@ -66,12 +66,12 @@
         Ok(LogWriter { commands: Some(commands), thread: Some(thread) })
     }
 
-    /// Appends records. Tickets must rise from call to call.
+    /// Appends records. Tickets must increase from call to call.
     pub fn append(&self, ticket: u64, payloads: Vec<Bytes>) -> Result<(), WriterStopped> {
         self.send(Command::Append { ticket, payloads })
     }
 
-    /// Reads a record back; the token comes back with it.
+    /// Reads a record back; the [`WriterEvent::Read`] carries the same token.
     pub fn read(&self, token: u64, position: Position) -> Result<(), WriterStopped> {
         self.send(Command::Read { token, position })
     }
@@ -96,7 +96,7 @@
     fn drop(&mut self) {
         self.commands = None;
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has nothing left to hand over.
+            // A thread that panicked has no events left to report.
             let _ = thread.join();
         }
     }
@@ -107,7 +107,7 @@
     while let Some(command) = next.take() {
         let event = match command {
             Command::Append { ticket, payloads } => {
-                let (through, payloads, other) = gather(ticket, payloads, commands);
+                let (through, payloads, other) = merge_appends(ticket, payloads, commands);
                 next = other;
                 match log.append(&payloads) {
                     Ok(positions) => WriterEvent::Synced { through, positions },
@@ -127,12 +127,12 @@
     }
 }
 
-/// Adds all appends that wait, up to a size or another command, which is returned.
-fn gather(
+/// Merges the waiting appends up to a size limit or up to another command, which is returned.
+fn merge_appends(
     mut through: u64, mut payloads: Vec<Bytes>, commands: &Receiver<Command>,
 ) -> (u64, Vec<Bytes>, Option<Command>) {
     let mut bytes: usize = payloads.iter().map(Bytes::len).sum();
-    while bytes < MOST_BATCH_BYTES {
+    while bytes < MAX_BATCH_BYTES {
         match commands.try_recv() {
             Ok(Command::Append { ticket, payloads: more }) => {
                 through = ticket;
