--- a/crates/message-log/tests/ages.rs
+++ b/crates/message-log/tests/ages.rs
@@ -1,7 +1,7 @@
-//! Ages of messages over restarts, losses of power and a time of day that is set.
+//! Ages of messages across restarts, power losses and adjustments of the time of day.
 //!
-//! A store used to take ages from the time of day alone. One whose clock was set forward by 3.9 s just before a loss of all
-//! power told an age that was 3.9 s too great, and a delayed message ran early (seed 4665 of whole clusters).
+//! If ages came from the time of day alone, a clock that was set forward by 3.9 s just before a total power loss would
+//! make an age 3.9 s too great, and a delayed message would run early (seed 4665 of the cluster simulation).
 
 mod common;
 
@@ -13,30 +13,31 @@
 
 /// `maxSkewMs` of these stores.
 const CLOCK_ERROR: u64 = 20 * SECOND;
-/// Longer than anything here takes.
+/// Longer than any of these tests.
 const LONG_RETENTION_MS: u64 = 100_000_000;
-/// A store that stops writes no more: what it knew since its last entry is lost.
-const READING_PERIOD: u64 = 2 * SECOND;
+/// The time that a stopping store can lose: everything since its last entry.
+const MAX_LOST_TIME: u64 = 2 * SECOND;
 
-/// A record that is not over for long.
+/// A record that does not expire during a test.
 fn long_lived(id: &str) -> Record {
     Record { retention_ms: LONG_RETENTION_MS, ..record(id) }
 }
 
-fn set_wall(node: &mut Node, by: i64) {
+fn adjust_wall_clock(node: &mut Node, by: i64) {
     node.wall_start = node.wall_start.saturating_add_signed(by);
 }
 
-/// Ends the process, lets time pass and starts it again, with a steady clock that begins anew.
-fn restart_after(node: &mut Node, away: u64) {
-    node.wall_start += node.now + away;
+/// Stops the process, lets time pass and starts the process again, with the steady clock reset to zero.
+fn restart_after(node: &mut Node, downtime: u64) {
+    node.wall_start += node.now + downtime;
     node.now = 0;
     node.restart();
     node.input(Input::Placement(placement(1, &[&["s1", "s2", "s3"]])));
 }
 
-/// The age and the time away of a message, as an heir is told them a while from now; the age as it is now.
-fn told_age(node: &mut Node, name: &MessageName) -> (u64, u64) {
+/// Returns the age and the uncounted downtime of a message from its next offer, with the age converted to the time of
+/// the call.
+fn offered_age(node: &mut Node, name: &MessageName) -> (u64, u64) {
     node.input(Input::Members(members(&[relay("b", 1)], &[owner("a", 1)])));
     let began = node.now;
     loop {
@@ -44,47 +45,48 @@
         let mut offered = node.take_offers().into_iter().flat_map(|(_, messages)| messages);
         if let Some(message) = offered.find(|message| message.record.name == *name) {
             let since = node.now - began;
-            // Ages are told in whole milliseconds.
+            // Ages are sent in whole milliseconds.
             return ((message.age_ms * MILLISECOND).saturating_sub(since), message.away_ms * MILLISECOND);
         }
         assert!(node.now < began + 10 * SECOND, "nothing is offered");
     }
 }
 
-/// Guards EARLY: a time of day that is set forward just before power is lost makes no message older.
+/// Guards against a delayed message that runs early: setting the time of day forward just before a power loss must not
+/// make the message older.
 #[test]
-fn a_clock_that_is_set_forward_makes_no_message_older() {
+fn clock_set_forward_does_not_increase_message_age() {
     let mut node = Node::in_first_placement("s1");
     let first = long_lived("first");
     node.ask(append(1, &first));
     node.advance(SECOND / 2);
-    set_wall(&mut node, 3_900_000);
+    adjust_wall_clock(&mut node, 3_900_000);
     restart_after(&mut node, SECOND / 10);
-    let (age, _) = told_age(&mut node, &first.name);
+    let (age, _) = offered_age(&mut node, &first.name);
     assert!(age <= 600 * MILLISECOND, "{age} us");
 }
 
-/// Guards LOST: a time of day that is set back does not have delays begin anew.
+/// Guards against delays that start again from zero when the time of day is set back.
 #[test]
-fn a_clock_that_is_set_back_makes_no_message_younger_than_the_log_knows() {
+fn clock_set_back_does_not_decrease_message_age_below_logged_age() {
     let mut node = Node::in_first_placement("s1");
     let first = long_lived("first");
     node.ask(append(1, &first));
     node.advance(30 * SECOND);
-    set_wall(&mut node, -20_000_000);
+    adjust_wall_clock(&mut node, -20_000_000);
     restart_after(&mut node, SECOND);
-    let (age, _) = told_age(&mut node, &first.name);
-    assert!((30 * SECOND - READING_PERIOD..=31 * SECOND).contains(&age), "{age} us");
+    let (age, _) = offered_age(&mut node, &first.name);
+    assert!((30 * SECOND - MAX_LOST_TIME..=31 * SECOND).contains(&age), "{age} us");
 }
 
-/// Guards against records that never end: times away count towards `retentionS`, though not towards delays.
+/// Guards against records that never expire: downtime counts towards `retentionS`, although not towards delays.
 #[test]
-fn many_times_away_still_end_a_record() {
+fn repeated_downtime_still_expires_a_record() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(append(1, &first));
     for _ in 0..16 {
-        node.advance(READING_PERIOD);
+        node.advance(MAX_LOST_TIME);
         restart_after(&mut node, 10 * SECOND);
     }
     node.advance(6 * SECOND);
@@ -92,7 +94,7 @@
     node.advance(5 * SECOND);
     assert!(
         node.take_offers().is_empty(),
-        "16 times away of 10 s are more than 90 s and all that is added for clocks"
+        "16 downtimes of 10 s exceed 90 s and all margins for clock errors"
     );
 }
 
@@ -107,7 +109,7 @@
     LosePower {
         away_ms: u16,
     },
-    /// Something is written, and old segments are cleaned away.
+    /// Writes entries, so that old segments are cleaned.
     Write {
         messages: u8,
     },
@@ -124,16 +126,17 @@
     }
 }
 
-/// What the age of a message may be told as.
-struct Truth {
+/// The true age of the message, and the faults that limit how exactly a store can know it.
+struct TrueAge {
     age: u64,
-    times_away: u64,
-    /// Whether any one setting, or all within one time away, went beyond what is allowed for.
-    set_since_power: i64,
-    is_beyond: bool,
+    downtimes: u64,
+    /// The sum of the clock adjustments since the last power loss.
+    adjusted_since_power_loss: i64,
+    /// Whether the adjustments between two power losses exceeded the allowed clock error.
+    exceeds_clock_error: bool,
 }
 
-fn ages_are_never_too_great(steps: Vec<Step>) -> bool {
+fn offered_age_is_within_bounds(steps: Vec<Step>) -> bool {
     let options = LogOptions { segment_bytes: 4 * 1024 };
     let mut settings = settings("s1");
     settings.clock_error = CLOCK_ERROR;
@@ -142,26 +145,27 @@
     node.input(Input::Placement(placement(1, &[&["s1", "s2", "s3"]])));
     let first = long_lived("first");
     node.ask(append(1, &first));
-    let mut truth = Truth { age: 0, times_away: 0, set_since_power: 0, is_beyond: false };
+    let mut actual =
+        TrueAge { age: 0, downtimes: 0, adjusted_since_power_loss: 0, exceeds_clock_error: false };
     let mut written = 0;
     for step in steps {
         match step {
             Step::Run { milliseconds } => {
                 let span = u64::from(milliseconds) * MILLISECOND;
                 node.advance(span);
-                truth.age += span;
+                actual.age += span;
             }
             Step::SetWall { milliseconds } => {
-                set_wall(&mut node, i64::from(milliseconds) * MILLISECOND as i64);
-                truth.set_since_power += i64::from(milliseconds) * MILLISECOND as i64;
-                truth.is_beyond |= truth.set_since_power.unsigned_abs() > CLOCK_ERROR;
+                adjust_wall_clock(&mut node, i64::from(milliseconds) * MILLISECOND as i64);
+                actual.adjusted_since_power_loss += i64::from(milliseconds) * MILLISECOND as i64;
+                actual.exceeds_clock_error |= actual.adjusted_since_power_loss.unsigned_abs() > CLOCK_ERROR;
             }
             Step::LosePower { away_ms } => {
-                let away = u64::from(away_ms) * MILLISECOND;
-                restart_after(&mut node, away);
-                truth.age += away;
-                truth.times_away += 1;
-                truth.set_since_power = 0;
+                let downtime = u64::from(away_ms) * MILLISECOND;
+                restart_after(&mut node, downtime);
+                actual.age += downtime;
+                actual.downtimes += 1;
+                actual.adjusted_since_power_loss = 0;
             }
             Step::Write { messages } => {
                 for _ in 0..messages {
@@ -173,21 +177,22 @@
             }
         }
     }
-    if truth.is_beyond {
+    if actual.exceeds_clock_error {
         return true;
     }
-    let (age, away) = told_age(&mut node, &first.name);
-    // Each time away is told by a clock that may be wrong, and what was not written by then is not known.
-    let unknown = truth.times_away * (2 * CLOCK_ERROR + READING_PERIOD);
-    let is_not_early = age <= truth.age + MILLISECOND;
-    let is_late_by_little = truth.age <= age + unknown + MILLISECOND;
-    let counts_times_away =
-        truth.age <= age + away + truth.times_away * (CLOCK_ERROR + READING_PERIOD) + MILLISECOND;
-    is_not_early && is_late_by_little && counts_times_away
+    let (age, downtime) = offered_age(&mut node, &first.name);
+    // Each downtime is measured by a clock that may be wrong, and the time since the last written entry is unknown.
+    let max_uncertainty = actual.downtimes * (2 * CLOCK_ERROR + MAX_LOST_TIME);
+    let is_not_early = age <= actual.age + MILLISECOND;
+    let is_late_within_bound = actual.age <= age + max_uncertainty + MILLISECOND;
+    let is_downtime_counted =
+        actual.age <= age + downtime + actual.downtimes * (CLOCK_ERROR + MAX_LOST_TIME) + MILLISECOND;
+    is_not_early && is_late_within_bound && is_downtime_counted
 }
 
-/// Guards EARLY and records that never end, over settings of the clock, losses of power and cleaning in any order.
+/// Guards against messages that run early and records that never expire, with clock adjustments, power losses and log
+/// cleaning in any order.
 #[test]
-fn no_age_is_too_great_and_none_is_lost() {
-    QuickCheck::new().tests(400).quickcheck(ages_are_never_too_great as fn(Vec<Step>) -> bool);
+fn offered_ages_stay_within_bounds_under_random_faults() {
+    QuickCheck::new().tests(400).quickcheck(offered_age_is_within_bounds as fn(Vec<Step>) -> bool);
 }
--- a/crates/message-log/tests/append.rs
+++ b/crates/message-log/tests/append.rs
@@ -1,4 +1,4 @@
-//! Appending records and listing open ones.
+//! Appending records and listing open messages.
 
 mod common;
 
@@ -15,14 +15,14 @@
     }
 }
 
-/// Guards against a 202 that rests on a record which a loss of power takes away.
+/// Guards against a 202 response for a record that a power loss can still erase.
 #[test]
-fn acknowledged_only_after_the_sync() {
+fn append_is_acknowledged_only_after_sync() {
     let mut node = Node::in_first_placement("s1");
     node.syncs_at_once = false;
     let first = record("first");
     let token = node.send(append(1, &first));
-    // A second request for the same record must not be acknowledged sooner either.
+    // A second request for the same record must not be acknowledged before the sync either.
     let again = node.send(append(1, &first));
     assert!(node.answers.is_empty());
     node.sync();
@@ -32,9 +32,10 @@
     assert!(node.unsynced.is_empty(), "and not written again");
 }
 
-/// Guards against a message that starts too early because a record that was being written was left out.
+/// Guards against a message that starts before its predecessor, because the list of open messages left out a record whose
+/// write was not synced yet.
 #[test]
-fn unsynced_records_are_listed() {
+fn open_list_includes_unsynced_records() {
     let mut node = Node::in_first_placement("s1");
     node.syncs_at_once = false;
     let first = keyed("first", "key", &[]);
@@ -51,9 +52,9 @@
     assert_eq!(node.open_names(1, "no such key"), []);
 }
 
-/// Guards against a write under an old placement that counts, and against one that is lost between two placements.
+/// Guards against a write that counts under an old placement, and against a write that is lost between two placements.
 #[test]
-fn epochs_of_requests() {
+fn appends_with_older_epochs_are_declined() {
     let mut node = Node::in_first_placement("s1");
     node.input(Input::Placement(placement(3, &[&["s1", "s2", "s3"]])));
     let first = keyed("first", "key", &[]);
@@ -66,7 +67,7 @@
 
 /// Guards against a store that answers for partitions that it does not hold.
 #[test]
-fn not_in_the_group() {
+fn store_outside_the_group_declines_requests() {
     let mut node = Node::new(settings("s9"));
     node.input(Input::Placement(placement(1, &[&["s1", "s2", "s3"]])));
     assert_eq!(decline_of(node.ask(append(1, &record("first")))), Some(Decline::NotInGroup));
@@ -74,9 +75,9 @@
     assert_eq!(node.look(&record("first").name), None);
 }
 
-/// Guards against requests that are lost, or wait for ever, when they come before the placement that they rest on.
+/// Guards against requests that are lost, or wait forever, when they arrive before the placement that they refer to.
 #[test]
-fn requests_wait_for_their_placement() {
+fn early_requests_are_held_until_their_placement() {
     let mut node = Node::new(settings("s1"));
     let early = node.send(append(1, &record("early")));
     assert!(node.answers.is_empty());
@@ -91,18 +92,19 @@
     assert_eq!(decline_of(node.answers.remove(&never)), Some(Decline::NotInGroup));
 }
 
-/// Guards against a name whose partition is not the record's: nobody would find it.
+/// Guards against a message name whose partition differs from the record's: no store would find such a message.
 #[test]
-fn names_tell_their_partition() {
+fn append_with_mismatched_partition_is_declined() {
     let mut node = Node::in_first_placement("s1");
     let mut wrong = record("first");
     wrong.partition = Partition((wrong.partition.0 + 1) % 4096);
     assert_eq!(decline_of(node.ask(append(1, &wrong))), Some(Decline::NotInGroup));
 }
 
-/// Guards against a full disk that stops the store, is answered as a success, or outlasts the trouble.
+/// Guards against a full disk that stops the store, is reported as success, or still causes errors after space is free
+/// again.
 #[test]
-fn a_full_disk() {
+fn full_disk_declines_writes_and_recovers() {
     let mut node = Node::in_first_placement("s1");
     let kept = record("kept");
     assert!(is_done(&node.ask(append(1, &kept))));
@@ -113,10 +115,10 @@
     assert_eq!(decline_of(node.ask(ended(&kept.name, End::Refused))), Some(Decline::Disk));
     assert_eq!(node.look(&lost.name), Some(Status::Unknown));
     assert!(node.open_names(1, "key").is_empty());
-    assert_eq!(node.fetch(&kept.name), Some(kept.clone()), "reads go on");
+    assert_eq!(node.fetch(&kept.name), Some(kept.clone()), "reads still work");
     node.files.set_capacity(None);
     node.advance(3 * SECOND);
-    assert!(is_done(&node.ask(append(1, &lost))), "there is room again");
+    assert!(is_done(&node.ask(append(1, &lost))), "the disk has space again");
     node.files.lose_power(1);
     node.restart();
     node.input(Input::Placement(placement(1, &[&["s1", "s2", "s3"]])));
@@ -124,9 +126,9 @@
     assert_eq!(node.look(&kept.name), Some(Status::Ended(End::Refused)), "the end was written later");
 }
 
-/// Guards against a failed sync after which a repeated request is acknowledged without a write.
+/// Guards against acknowledging a repeated request without a write after a failed sync.
 #[test]
-fn a_failed_sync_is_not_forgotten() {
+fn failed_sync_is_not_acknowledged_on_repeat() {
     let mut node = Node::in_first_placement("s1");
     node.ask(append(1, &record("before")));
     node.syncs_at_once = false;
@@ -148,7 +150,7 @@
 
 /// Guards against memory that grows without bound while a sync is stalled.
 #[test]
-fn busy_while_the_disk_stalls() {
+fn appends_are_busy_while_sync_is_stalled() {
     let mut node = Node::in_first_placement("s1");
     node.settings.waiting_bytes = 64 * 1024;
     node.restart();
@@ -161,17 +163,17 @@
             decline_of(node.ask(append(1, &record)))
         })
         .collect();
-    let taken = answers.iter().filter(|answer| answer.is_none()).count();
-    assert!((10..20).contains(&taken), "{taken}");
-    assert_eq!(answers.iter().filter(|answer| **answer == Some(Decline::Busy)).count(), 100 - taken);
+    let accepted = answers.iter().filter(|answer| answer.is_none()).count();
+    assert!((10..20).contains(&accepted), "{accepted}");
+    assert_eq!(answers.iter().filter(|answer| **answer == Some(Decline::Busy)).count(), 100 - accepted);
     node.sync();
-    assert_eq!(node.answers.len(), taken);
+    assert_eq!(node.answers.len(), accepted);
     assert!(node.answers.values().all(|answer| matches!(answer, StoreResponse::Done { .. })));
 }
 
-/// Guards against a disk that is filled to the last byte, so that ends and cleaning have no room.
+/// Guards against appends that fill the disk completely, so that ends cannot be written and cleaning has no space.
 #[test]
-fn appends_leave_room_on_the_disk() {
+fn appends_leave_reserved_disk_space() {
     let mut node = Node::in_first_placement("s1");
     node.settings.disk_bytes = 256 * 1024;
     node.restart();
--- a/crates/message-log/tests/common/mod.rs
+++ b/crates/message-log/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A store with its log on simulated files and a simulated clock, and a few of them together.
+//! Test stores with their logs on simulated files and a simulated clock, and the delivery of requests between them.
 
 #![allow(dead_code)]
 
@@ -16,10 +16,10 @@
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 pub const STATUS_TTL: u64 = 120 * SECOND;
-/// So short a `retentionS` that ends are remembered for no longer than `statusTtlS`.
+/// A `retentionS` so short that ends are remembered for no longer than `statusTtlS`.
 pub const SHORT_RETENTION_MS: u64 = 60_000;
 
-/// The time of day when the steady clock starts.
+/// The time of day when the steady clock is zero.
 pub const WALL_START: u64 = 1_700_000_000 * SECOND;
 
 pub fn store_id(name: &str) -> StoreId {
@@ -65,7 +65,7 @@
     Members { live: live.to_vec(), ended: ended.to_vec() }
 }
 
-/// A record of relay `a`'s first life without a key.
+/// A record without an ordering key, owned by the first life of relay `a`.
 pub fn record(id: &str) -> Record {
     let partition = Partition::of(id);
     Record {
@@ -88,7 +88,7 @@
     }
 }
 
-/// A record with an ordering key, which sets its partition.
+/// A record with an ordering key, which determines its partition.
 pub fn keyed(id: &str, key: &str, predecessors: &[&MessageName]) -> Record {
     let partition = Partition::of(key);
     Record {
@@ -120,7 +120,7 @@
     }
 }
 
-/// A store and what it did.
+/// A store, its environment, and the effects that it returned.
 pub struct Node {
     pub settings: StoreSettings,
     pub files: SimulatedFiles,
@@ -128,15 +128,15 @@
     pub now: u64,
     /// The time of day when the steady clock shows 0.
     pub wall_start: u64,
-    /// Writes are synced at once.
+    /// Whether writes are synced immediately.
     pub syncs_at_once: bool,
     pub answers: BTreeMap<u64, StoreResponse>,
     pub notices: Vec<(NodeName, StoreNotice)>,
-    /// Requests to other stores that were not delivered yet.
+    /// The requests to other stores that are not delivered yet.
     pub pulls: VecDeque<(StoreId, u64, StoreRequest)>,
     pub copied: Vec<PlacementEpoch>,
     pub wake_at: Option<u64>,
-    /// Writes that wait for a sync.
+    /// The writes that wait for a sync.
     pub unsynced: VecDeque<(u64, Vec<Bytes>)>,
     store: Store,
     log: Log<SimulatedFiles>,
@@ -144,7 +144,7 @@
 }
 
 impl Node {
-    /// A store in the only set of three stores, which has seen the placement.
+    /// A store that has received the first placement, whose only set has three stores.
     pub fn in_first_placement(name: &str) -> Self {
         let mut node = Node::new(settings(name));
         node.input(Input::Placement(placement(1, &[&["s1", "s2", "s3"]])));
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Starts the process again on what is on the disk. Nothing that was under way goes on.
+    /// Restarts the process from the data on the disk. All outstanding work is dropped.
     pub fn restart(&mut self) {
         let (store, log) = recover(&self.settings, &self.files, self.options, self.time());
         (self.store, self.log) = (store, log);
@@ -215,7 +215,7 @@
                 return Some(Input::ReadBack { token, payload: self.log.read(position).ok() });
             }
             Effect::RemoveSegments { before } => {
-                // A disk that refuses may do so here too; the next removal takes these segments as well.
+                // A failing disk may fail here too; the next removal also covers these segments.
                 match self.log.remove_before(before) {
                     Ok(()) | Err(StorageError::Io { .. }) => {}
                     Err(error) => panic!("removing segments: {error}"),
@@ -228,7 +228,7 @@
         None
     }
 
-    /// Writes and syncs all that waits, as one batch.
+    /// Writes and syncs all waiting entries as one batch.
     fn write(&mut self) -> Option<Input> {
         let through = self.unsynced.back()?.0;
         let entries: Vec<Bytes> = self.unsynced.drain(..).flat_map(|(_, entries)| entries).collect();
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Lets time pass, with a tick whenever the store asked for one.
+    /// Advances the clock, with a tick whenever the store has requested one.
     pub fn advance(&mut self, span: u64) {
         let end = self.now + span;
         while let Some(at) = self.wake_at.take_if(|at| *at <= end) {
@@ -262,7 +262,7 @@
         token
     }
 
-    /// Sends a request and returns the answer, if it came at once.
+    /// Sends a request and returns the response, if it came immediately.
     pub fn ask(&mut self, request: StoreRequest) -> Option<StoreResponse> {
         let token = self.send(request);
         self.answers.remove(&token)
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Takes the offers that were made: heir and messages.
+    /// Removes and returns the offers that were sent: the relay and the messages of each.
     pub fn take_offers(&mut self) -> Vec<(NodeName, Vec<OrphanMessage>)> {
         let mut offers = Vec::new();
         self.notices.retain(|(to, notice)| match notice {
@@ -331,15 +331,15 @@
     matches!(response, Some(StoreResponse::Done { .. }))
 }
 
-/// The status that a store tells of one message.
-pub fn told_status(response: &Option<StoreResponse>) -> Option<Status> {
+/// The status of the first message in a response, if the response contains statuses.
+pub fn status_in_response(response: &Option<StoreResponse>) -> Option<Status> {
     match response {
         Some(StoreResponse::Statuses { statuses, .. }) => statuses.first().cloned(),
         _ => None,
     }
 }
 
-/// Carries requests between stores until none is left. Those to stores that are not there get lost.
+/// Delivers requests between stores until none is left. Requests to stores that do not exist are lost.
 pub fn deliver(nodes: &mut [Node]) {
     loop {
         let Some(from) = nodes.iter().position(|node| !node.pulls.is_empty()) else { return };
--- a/crates/message-log/tests/copying.rs
+++ b/crates/message-log/tests/copying.rs
@@ -1,4 +1,4 @@
-//! Changes of the placement: what a store copies, from whom, and from when on it counts.
+//! Placement changes: what a store copies, from which stores, and when it starts to count towards a quorum.
 
 mod common;
 
@@ -29,7 +29,7 @@
     &mut nodes[index.unwrap_or_else(|| panic!("no store {name}"))]
 }
 
-/// Appends to the first stores of the partition's group that make a write durable, and returns who has it.
+/// Appends to a write quorum of each group of the partition, and returns the names of the stores that have the record.
 fn write(nodes: &mut [Node], placement: &Placement, record: &Record, skip: usize) -> BTreeSet<String> {
     let mut holders = BTreeSet::new();
     for group in placement.groups(record.partition) {
@@ -43,10 +43,10 @@
     holders
 }
 
-/// Guards against a change after which a message is on fewer than f+1 of the stores that remain, or its end or
-/// owner is known to fewer.
+/// Guards against a placement change after which fewer than f+1 of the remaining stores have a message, its end or its
+/// owner.
 #[test]
-fn a_change_leaves_enough_copies() {
+fn placement_change_keeps_f_plus_one_copies() {
     let before = placement(1, &[OLD]);
     let mut nodes = stores(&["s1", "s2", "s3", "s4"], 1, &[OLD]);
     let records: Vec<Record> = (0..300)
@@ -95,10 +95,10 @@
     }
 }
 
-/// Guards against a store that answers for what it has not copied yet, and against one that refuses to take new
-/// records meanwhile.
+/// Guards against a store that answers for data that it has not copied yet, and against a store that rejects new records
+/// meanwhile.
 #[test]
-fn a_new_store_counts_only_when_it_has_copied() {
+fn new_store_answers_only_after_copying() {
     let mut nodes = stores(&["s1", "s2", "s3", "s4"], 2, &[OLD, NEW]);
     let first = keyed("first", "key", &[]);
     let new = node(&mut nodes, "s4");
@@ -121,10 +121,10 @@
     assert_eq!(new.open_names(2, "key"), [first.name]);
 }
 
-/// Guards against a copy that counts as read although only f stores of a group have answered, and against one that
-/// waits for ever for a store that is gone.
+/// Guards against copying that completes although only f stores of a group have answered, and against copying that waits
+/// forever for a dead store.
 #[test]
-fn a_read_needs_all_but_f() {
+fn copying_needs_answers_from_all_but_f_stores() {
     let first = keyed("first", "key", &[]);
     for gone in OLD {
         let mut nodes = stores(&["s1", "s2", "s3", "s4"], 1, &[OLD]);
@@ -135,34 +135,34 @@
             node.input(Input::Placement(placement(2, &[OLD, NEW])));
         }
         let other = OLD.iter().find(|name| *name != gone).copied().unwrap_or_default();
-        let (mut with_both, mut held) = (Vec::new(), Vec::new());
+        let (mut reachable, mut unreachable) = (Vec::new(), Vec::new());
         for node in nodes {
             if node.id() == store_id(gone) || node.id() == store_id(other) {
-                held.push(node);
+                unreachable.push(node);
             } else {
-                with_both.push(node);
+                reachable.push(node);
             }
         }
-        deliver(&mut with_both);
+        deliver(&mut reachable);
         for _ in 0..20 {
-            node(&mut with_both, "s4").advance(SECOND / 2);
-            deliver(&mut with_both);
+            node(&mut reachable, "s4").advance(SECOND / 2);
+            deliver(&mut reachable);
         }
-        assert!(node(&mut with_both, "s4").copied.is_empty(), "only one of three has answered");
-        with_both.extend(held.into_iter().filter(|node| node.id() == store_id(other)));
+        assert!(node(&mut reachable, "s4").copied.is_empty(), "only one of three has answered");
+        reachable.extend(unreachable.into_iter().filter(|node| node.id() == store_id(other)));
         for _ in 0..20 {
-            node(&mut with_both, "s4").advance(SECOND / 2);
-            deliver(&mut with_both);
+            node(&mut reachable, "s4").advance(SECOND / 2);
+            deliver(&mut reachable);
         }
-        let new = node(&mut with_both, "s4");
+        let new = node(&mut reachable, "s4");
         assert_eq!(new.copied, [PlacementEpoch(2)], "without {gone}");
         assert_eq!(new.open_names(2, "key"), std::slice::from_ref(&first.name), "without {gone}");
     }
 }
 
-/// Guards against a dead store in a group that holds the copying up, where membership knows that it is dead.
+/// Guards against copying that is delayed by a store that membership knows to be dead.
 #[test]
-fn live_stores_are_asked_first() {
+fn copying_reads_from_live_stores_first() {
     let mut nodes = stores(&["s1", "s2", "s4"], 1, &[OLD]);
     let live = ["s1", "s2", "s4"].map(store_node);
     for node in &mut nodes {
@@ -174,9 +174,9 @@
     assert_eq!(node(&mut nodes, "s4").copied, [PlacementEpoch(2)]);
 }
 
-/// Guards against pieces of any size, and against a store that is asked for several at a time.
+/// Guards against pages of unlimited size, and against more than one outstanding request to a store.
 #[test]
-fn copies_go_in_pieces() {
+fn copying_is_paged() {
     let mut nodes = stores(&["s1", "s2", "s3", "s4"], 1, &[OLD]);
     for number in 0..200 {
         let mut record = record(&format!("r{number}"));
@@ -188,11 +188,11 @@
     for node in &mut nodes {
         node.input(Input::Placement(placement(2, &[OLD, NEW])));
     }
-    let mut pieces: BTreeMap<_, usize> = BTreeMap::new();
+    let mut pages: BTreeMap<_, usize> = BTreeMap::new();
     loop {
         let new = node(&mut nodes, "s4");
         let asked: BTreeSet<_> = new.pulls.iter().map(|(to, ..)| to.clone()).collect();
-        assert_eq!(asked.len(), new.pulls.len(), "one piece of each store at a time");
+        assert_eq!(asked.len(), new.pulls.len(), "one page from each store at a time");
         let Some((to, token, request)) = new.pulls.pop_front() else { break };
         let response = node(&mut nodes, &to.name.0).ask(request);
         if let Some(StoreResponse::Contents { messages, .. }) = &response {
@@ -202,17 +202,18 @@
                 .map(|record| record.body.len())
                 .sum();
             assert!(bytes <= 256 * 1024 + 20_000, "{bytes}");
-            *pieces.entry(to).or_default() += 1;
+            *pages.entry(to).or_default() += 1;
         }
         node(&mut nodes, "s4").input(Input::PullAnswered { token, response });
     }
     assert_eq!(node(&mut nodes, "s4").copied, [PlacementEpoch(2)]);
-    assert!(pieces.values().all(|count| *count > 5), "{pieces:?}");
+    assert!(pages.values().all(|count| *count > 5), "{pages:?}");
 }
 
-/// Guards against a copy that is told as done before it is on the disk, or after part of it was refused by the disk.
+/// Guards against copying that is reported as finished before the data is synced, or after a part of it failed to be
+/// written.
 #[test]
-fn copied_means_synced() {
+fn copied_is_reported_only_after_sync() {
     let first = keyed("first", "key", &[]);
     let mut nodes = stores(&["s1", "s2", "s3", "s4"], 1, &[OLD]);
     for name in OLD {
@@ -242,10 +243,10 @@
     assert_eq!(new.open_names(2, "key"), [first.name]);
 }
 
-/// Guards against an end that a relay with an older placement tells only the old stores, after a new one has copied
-/// from them.
+/// Guards against a lost end that a relay with an older placement sends only to the old stores, after a new store has
+/// copied from them.
 #[test]
-fn late_facts_are_passed_on() {
+fn late_facts_are_forwarded_to_new_stores() {
     let first = record("first");
     let mut nodes = stores(&["s1", "s2", "s3", "s4"], 1, &[OLD]);
     for name in OLD {
@@ -261,10 +262,10 @@
     assert_eq!(node(&mut nodes, "s4").look(&first.name), Some(Status::Ended(completed("x"))));
 }
 
-/// Guards against a source that hands out what it knows before it has the asker's placement: what is written to it
-/// under the older one would be missed.
+/// Guards against a source that answers a `Pull` before it knows the placement of the requesting store: writes to the
+/// source under the older placement would then be missing from the copy.
 #[test]
-fn a_source_waits_for_the_placement() {
+fn source_holds_pull_until_it_knows_the_placement() {
     let mut nodes = stores(&["s1"], 1, &[OLD]);
     let pull = StoreRequest::Pull {
         epoch: PlacementEpoch(2),
@@ -284,12 +285,16 @@
         }
         other => panic!("{other:?}"),
     }
-    assert!(!is_done(&source.ask(append(1, &record("later")))), "nothing counts under the old one any more");
+    assert!(
+        !is_done(&source.ask(append(1, &record("later")))),
+        "writes under the old placement no longer count"
+    );
 }
 
-/// Guards against a second change that begins before the first has ended and takes stores for complete that are not.
+/// Guards against a second placement change that starts before the first has finished and treats incomplete stores as
+/// complete.
 #[test]
-fn a_change_on_top_of_a_change() {
+fn second_placement_change_during_copying() {
     const NEWEST: &[&str] = &["s1", "s4", "s5"];
     let first = keyed("first", "key", &[]);
     let mut nodes = stores(&["s1", "s2", "s3", "s4", "s5"], 1, &[OLD]);
@@ -312,9 +317,9 @@
     }
 }
 
-/// Guards against a store that forgets, when its log is cleaned, that it has copied, and stops answering.
+/// Guards against log cleaning that loses the `CopiedSet` entry, after which the store would stop answering.
 #[test]
-fn cleaning_keeps_the_note_of_a_copy() {
+fn cleaning_keeps_the_copied_set_entry() {
     let mut nodes = stores(&["s1", "s2", "s3", "s4"], 2, &[OLD, NEW]);
     deliver(&mut nodes);
     let new = node(&mut nodes, "s4");
@@ -335,10 +340,10 @@
     assert!(new.files.content("segment-0000000000000001").is_none(), "the first segment was cleaned");
 }
 
-/// Guards against a store that takes itself for complete because it copied the same set once before: what was written
-/// while that set was out of force is missing.
+/// Guards against a store that treats itself as complete because it has copied the same set before: writes made while
+/// that set was not in effect are missing.
 #[test]
-fn an_earlier_copy_of_the_same_set_does_not_count() {
+fn earlier_copy_of_the_same_set_does_not_count() {
     for is_restarted in [false, true] {
         let first = keyed("first", "key", &[]);
         let mut nodes = stores(&["s1", "s2", "s3", "s4"], 2, &[OLD, NEW]);
@@ -362,9 +367,9 @@
     }
 }
 
-/// Guards against a copy that is done again when the next placement keeps its set.
+/// Guards against copying a set again when the next placement keeps it.
 #[test]
-fn a_copy_counts_on_under_the_next_placement() {
+fn copied_set_stays_complete_under_the_next_placement() {
     const NEWEST: &[&str] = &["s1", "s4", "s5"];
     let mut nodes = stores(&["s1", "s2", "s3", "s4"], 2, &[OLD, NEW]);
     deliver(&mut nodes);
@@ -377,9 +382,9 @@
     assert_eq!(new.open_names(3, "key"), [], "also after a restart");
 }
 
-/// Guards against a copy that counts as young as its store is new: its message would be due, and over, that much too late.
+/// Guards against a copied record whose age restarts at zero: its message would be due, and would expire, too late.
 #[test]
-fn a_copy_is_as_old_as_its_source() {
+fn copied_record_keeps_its_age() {
     let mut nodes = stores(&["s1", "s2", "s3", "s4"], 1, &[OLD]);
     let before = placement(1, &[OLD]);
     let first = record("first");
--- a/crates/message-log/tests/expiry.rs
+++ b/crates/message-log/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! Records whose `retentionS` is over, and how long ends are remembered.
+//! The expiry of records after `retentionS`, and how long ends are remembered.
 
 mod common;
 
@@ -7,16 +7,16 @@
 use pewterseam_wire::record::{End, Record};
 use pewterseam_wire::store::{Status, StoreResponse};
 
-/// By then every record of `retention_ms` is over, whatever was added for clocks.
+/// The `retention_ms` of [`record`]. `LONG_AFTER` is longer than all margins that are added for clock errors.
 const RETENTION: u64 = 90 * SECOND;
 const LONG_AFTER: u64 = 60 * SECOND;
-/// For `retention_ms`, twice the error of the time of day, the margin of owners, a look through all records and a take-over.
+/// The sum of `retention_ms`, twice the clock error, the margin of owners, an expiry check and a takeover.
 const REMEMBERED: u64 = RETENTION + (2 * 20 + 5 + 5 + 5) * SECOND;
 
-/// Guards TWICE: a store that was away when a message ended keeps the record open. Offered once the other stores have
-/// forgotten the end, the message would run again.
+/// Guards against a message that runs twice: a store that was down when a message ended keeps the record open. If it
+/// offered the record after the other stores have forgotten the end, the message would run again.
 #[test]
-fn a_record_whose_time_is_over_is_not_offered() {
+fn expired_record_is_not_offered() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.input(Input::Members(members(&[relay("a", 1), relay("b", 1)], &[])));
@@ -27,9 +27,9 @@
     assert!(node.take_offers().is_empty());
 }
 
-/// Guards TWICE: the same where the store has started again in between.
+/// Guards against a message that runs twice, as above, if the store has restarted in between.
 #[test]
-fn a_record_whose_time_is_over_at_a_start_is_not_offered() {
+fn record_expired_before_restart_is_not_offered() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(append(1, &first));
@@ -42,9 +42,9 @@
     assert!(node.take_offers().is_empty());
 }
 
-/// Guards LOST: a record is offered for as long as its time lasts, by any relay's clock.
+/// Guards against a lost message: a record must be offered until it has expired by every relay's clock.
 #[test]
-fn a_record_is_offered_until_its_time_is_over() {
+fn record_is_offered_until_it_expires() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.input(Input::Members(members(&[relay("a", 1), relay("b", 1)], &[])));
@@ -55,23 +55,23 @@
     assert_eq!(node.take_offers().len(), 1);
 }
 
-/// Guards against a key that a record blocks whose end nobody remembers.
+/// Guards against an ordering key that stays blocked by a record whose end no store remembers.
 #[test]
-fn a_record_whose_time_is_over_holds_no_key() {
+fn expired_record_does_not_block_its_key() {
     let mut node = Node::in_first_placement("s1");
     let first = keyed("first", "key", &[]);
     node.ask(append(1, &first));
     node.advance(RETENTION + LONG_AFTER);
     let Some(StoreResponse::OpenMessages { names, .. }) = node.ask(list_open(1, "key")) else {
-        panic!("another answer");
+        panic!("unexpected response");
     };
     assert_eq!(names, []);
 }
 
-/// Guards TWICE: an end must be remembered for as long as any store may hold the record open, also where that is longer
-/// than `statusTtlS`.
+/// Guards against a message that runs twice: an end must be remembered for as long as any store may hold the record open,
+/// even if that is longer than `statusTtlS`.
 #[test]
-fn an_end_outlasts_the_time_of_its_record() {
+fn end_is_remembered_beyond_status_ttl_until_its_record_expires() {
     let mut node = Node::in_first_placement("s1");
     let first = Record { retention_ms: 300_000, ..record("first") };
     node.ask(append(1, &first));
@@ -80,9 +80,10 @@
     assert_eq!(node.look(&first.name), Some(Status::Ended(completed("signature"))));
 }
 
-/// Guards the disk and the memory: ends are forgotten as soon as no record can be open, whatever others need.
+/// Guards against ends that use disk and memory for too long: an end must be forgotten as soon as no store can hold its
+/// record open, even if the ends of other records are still needed.
 #[test]
-fn an_end_is_forgotten_when_no_record_can_be_open() {
+fn end_is_forgotten_once_no_record_can_be_open() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     let long_lived = Record { retention_ms: 3_600_000, ..record("long-lived") };
@@ -97,9 +98,10 @@
     assert_eq!(node.look(&long_lived.name), Some(Status::Ended(End::Refused)));
 }
 
-/// Guards TWICE: an end whose record never came here is remembered as long as those of the other records.
+/// Guards against a message that runs twice: an end whose record never reached this store must be remembered as long as
+/// the ends of the other records.
 #[test]
-fn an_end_without_its_record_outlasts_the_time_of_others() {
+fn end_without_record_is_remembered_as_long_as_others() {
     let mut node = Node::in_first_placement("s1");
     node.ask(append(1, &Record { retention_ms: 300_000, ..record("other") }));
     let elsewhere = record("elsewhere");
@@ -108,10 +110,10 @@
     assert_eq!(node.look(&elsewhere.name), Some(Status::Ended(completed("signature"))));
 }
 
-/// Guards TWICE: ends used to be forgotten after 600 s at the most, while a store that had missed one kept its record open for
-/// a `retentionS` that was longer.
+/// Guards against a message that runs twice: if ends were forgotten after 600 s, a store that had missed an end could
+/// keep its record open for longer, up to `retentionS`.
 #[test]
-fn an_end_outlasts_a_record_that_is_kept_for_an_hour() {
+fn end_is_remembered_for_one_hour_retention() {
     let mut node = Node::in_first_placement("s1");
     let first = Record { retention_ms: 3_600_000, ..record("first") };
     node.ask(append(1, &first));
@@ -122,11 +124,12 @@
     assert_eq!(node.look(&first.name), Some(Status::Unknown));
 }
 
-/// Guards the memory: of very many ends the later ones are remembered for no longer than 600 s.
+/// Guards against unbounded memory: once the limit of remembered ends is reached, later ends are remembered for at most
+/// 600 s.
 #[test]
-fn the_memory_of_long_kept_records_is_bounded() {
+fn number_of_long_remembered_ends_is_bounded() {
     const REMEMBERED: usize = 50;
-    const LONGEST_MEMORY: u64 = 600 * SECOND;
+    const MAX_RETENTION_WHEN_FULL: u64 = 600 * SECOND;
     let mut node = Node::new(StoreSettings { remembered_ends: REMEMBERED, ..settings("s1") });
     node.input(Input::Placement(placement(1, &[&["s1", "s2", "s3"]])));
     let long_lived = |id: &str| Record { retention_ms: 3_600_000, ..record(id) };
@@ -139,7 +142,7 @@
     let late = long_lived("late");
     node.ask(append(1, &late));
     node.ask(ended(&late.name, End::Refused));
-    node.advance(LONGEST_MEMORY - 2 * SECOND);
+    node.advance(MAX_RETENTION_WHEN_FULL - 2 * SECOND);
     assert_eq!(node.look(&late.name), Some(Status::Ended(End::Refused)));
     node.advance(4 * SECOND);
     assert_eq!(node.look(&late.name), Some(Status::Unknown));
--- a/crates/message-log/tests/facts.rs
+++ b/crates/message-log/tests/facts.rs
@@ -1,4 +1,4 @@
-//! Ends, attempts, and how long they are kept.
+//! Ends and failed attempts of messages, and how long they are kept.
 
 mod common;
 
@@ -22,27 +22,31 @@
     }
 }
 
-/// Guards against an end that is acknowledged before it is synced, also when it is told again.
+/// Guards against an end that is acknowledged before it is synced, including repeated requests.
 #[test]
-fn ends_are_acknowledged_after_the_sync() {
+fn ends_are_acknowledged_only_after_sync() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(append(1, &first));
     node.syncs_at_once = false;
     let token = node.send(ended(&first.name, completed("x")));
     let again = node.send(ended(&first.name, completed("x")));
-    let worse = node.send(ended(&first.name, End::Expired));
+    let lower_precedence = node.send(ended(&first.name, End::Expired));
     assert!(node.answers.is_empty());
-    assert_eq!(node.look(&first.name), Some(Status::Ended(completed("x"))), "known at once all the same");
+    assert_eq!(
+        node.look(&first.name),
+        Some(Status::Ended(completed("x"))),
+        "the end is visible before the sync"
+    );
     node.sync();
-    for token in [token, again, worse] {
+    for token in [token, again, lower_precedence] {
         assert!(is_done(&node.answers.remove(&token)));
     }
 }
 
-/// Guards against counts of attempts that wait for the disk, go back, or are lost over a restart.
+/// Guards against attempt counts that wait for the disk, decrease, or are lost across a restart.
 #[test]
-fn attempts_are_counted() {
+fn attempt_counts_are_kept_without_waiting_for_sync() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(append(1, &first));
@@ -51,7 +55,7 @@
     assert!(is_done(&node.ask(attempted(&first.name, 2))));
     let open = Status::Open { owner: owner("a", 1), claim: 0, failures: 3, released: false };
     assert_eq!(node.look(&first.name), Some(open.clone()));
-    assert!(node.unsynced.is_empty(), "nobody waits, so there is no sync for it alone");
+    assert!(node.unsynced.is_empty(), "no request waits, so the count alone causes no sync");
     node.advance(2 * SECOND);
     node.sync();
     node.files.lose_power(0);
@@ -60,9 +64,9 @@
     assert_eq!(node.look(&first.name), Some(open));
 }
 
-/// Guards against facts that are lost because they come before the record.
+/// Guards against facts that are lost because they arrive before the record.
 #[test]
-fn facts_before_the_record() {
+fn facts_before_their_record_are_kept() {
     let mut node = Node::in_first_placement("s1");
     let (first, second) = (keyed("first", "key", &[]), keyed("second", "key", &[]));
     node.ask(ended(&first.name, completed("x")));
@@ -81,10 +85,10 @@
     }
 }
 
-/// Guards against bodies that stay after a success, and bodies of dead letters that go too soon or come back
-/// changed.
+/// Guards against bodies that are kept after a success, and against bodies of dead letters that are dropped too soon or
+/// read back changed.
 #[test]
-fn bodies_after_the_end() {
+fn bodies_are_kept_only_for_dead_letters() {
     let mut node = Node::in_first_placement("s1");
     for number in 0..5 {
         let record = record(&format!("r{number}"));
@@ -98,13 +102,13 @@
     }
 }
 
-/// Guards against the body of a dead letter whose record comes after its end.
+/// Guards against losing the body of a dead letter whose record arrives after its end.
 #[test]
-fn a_dead_letter_whose_record_comes_late() {
+fn dead_letter_record_after_its_end_is_kept() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(ended(&first.name, End::AttemptsUsed));
-    assert_eq!(told_status(&node.ask(append(1, &first))), Some(Status::Ended(End::AttemptsUsed)));
+    assert_eq!(status_in_response(&node.ask(append(1, &first))), Some(Status::Ended(End::AttemptsUsed)));
     assert_eq!(node.fetch(&first.name), Some(first.clone()));
     assert_eq!(node.look(&first.name), Some(Status::Ended(End::AttemptsUsed)));
     node.restart();
@@ -113,9 +117,9 @@
     assert_eq!(node.look(&first.name), Some(Status::Ended(End::AttemptsUsed)));
 }
 
-/// Guards against ends that are forgotten before `statusTtlS`, or never, also over a restart.
+/// Guards against ends that are forgotten before `statusTtlS`, or never, including across a restart.
 #[test]
-fn ends_are_forgotten_in_time() {
+fn ends_are_forgotten_after_status_ttl() {
     let mut node = Node::in_first_placement("s1");
     let short_lived = |id: &str| Record { retention_ms: SHORT_RETENTION_MS, ..record(id) };
     let (done, dead) = (short_lived("done"), short_lived("dead"));
@@ -135,17 +139,13 @@
     assert_eq!(node.look(&done.name), Some(Status::Unknown));
     assert_eq!(node.look(&dead.name), Some(Status::Unknown));
     assert_eq!(node.fetch(&dead.name), None);
-    assert_eq!(
-        node.fetch(&open.name),
-        Some(open),
-        "an open message is not forgotten before its time is over"
-    );
+    assert_eq!(node.fetch(&open.name), Some(open), "an open message is not forgotten before it expires");
 }
 
-/// Guards against ages that are wrong after a restart: of the machine, whose steady clock starts again, and with a
-/// time of day that was set back, after which an end may be kept longer and not less long.
+/// Guards against wrong ages after a reboot, which resets the steady clock, and after the time of day was set back; then
+/// an end may be kept longer, but not shorter.
 #[test]
-fn clocks_over_a_restart() {
+fn end_retention_survives_clock_changes_at_restart() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(ended(&first.name, completed("x")));
@@ -165,9 +165,9 @@
     assert_eq!(node.look(&first.name), Some(Status::Unknown));
 }
 
-/// Guards against bodies that stay in memory beyond the budget, or that come back changed from the log.
+/// Guards against bodies that are kept in memory beyond the limit, or that are read back changed from the log.
 #[test]
-fn bodies_beyond_the_budget_are_read_back() {
+fn bodies_beyond_the_memory_limit_are_read_back() {
     let mut node = Node::in_first_placement("s1");
     node.settings.memory_bytes = 10_000;
     node.restart();
@@ -188,9 +188,9 @@
 }
 
 quickcheck! {
-    /// Guards against two stores that heard of the same ends in another order, or more than once, and tell
-    /// different ones.
-    fn ends_are_a_union(first: Vec<u8>, seed: u64) -> bool {
+    /// Guards against stores that report different ends after they received the same ends in a different order or more
+    /// than once.
+    fn ends_are_independent_of_order_and_repetition(first: Vec<u8>, seed: u64) -> bool {
         let message = record("message");
         let mut second = first.clone();
         let length = second.len();
--- a/crates/message-log/tests/owners.rs
+++ b/crates/message-log/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Who delivers: claims, releases, offers to heirs, and word to those who wait.
+//! Ownership of messages: claims, releases, offers to other relays, and notices about ended predecessors.
 
 mod common;
 
@@ -20,16 +20,16 @@
     offers.flat_map(|(to, messages)| messages.into_iter().map(move |m| (to.clone(), m.record.name))).collect()
 }
 
-/// Guards against messages that are handed to a second relay while the first one lives, and against those of a dead
-/// one that nobody is told of.
+/// Guards against messages that are offered to a second relay while their owner is alive, and against messages of a dead
+/// owner that are offered to no relay.
 #[test]
-fn offered_only_after_the_owner_is_dead() {
+fn messages_are_offered_only_after_their_owner_is_dead() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.input(Input::Members(members(&[relay("a", 1), relay("b", 1)], &[])));
     node.ask(append(1, &first));
     node.advance(30 * SECOND);
-    assert!(node.take_offers().is_empty(), "the owner lives");
+    assert!(node.take_offers().is_empty(), "the owner is alive");
     node.input(Input::Members(members(&[relay("b", 1)], &[owner("a", 1)])));
     node.advance(SECOND / 2);
     let offers = node.take_offers();
@@ -49,15 +49,15 @@
     );
     node.input(Input::Members(members(&[relay("c", 1)], &[owner("b", 1)])));
     node.advance(SECOND / 2);
-    assert_eq!(offered(&mut node), [(NodeName::new("c"), first.name.clone())], "the heir died as well");
+    assert_eq!(offered(&mut node), [(NodeName::new("c"), first.name.clone())], "the new owner died as well");
     node.ask(ended(&first.name, End::Expired));
     node.advance(5 * SECOND);
     assert!(node.take_offers().is_empty(), "ended");
 }
 
-/// Guards against an earlier life of a relay that started again and has forgotten its messages.
+/// Guards against messages that stay with an earlier life of a relay, which has restarted and no longer knows them.
 #[test]
-fn an_earlier_life_is_over() {
+fn messages_of_an_earlier_life_are_offered() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(append(1, &first));
@@ -66,10 +66,10 @@
     assert_eq!(offered(&mut node), [(NodeName::new("a"), first.name)]);
 }
 
-/// Guards against a relay of which membership does not know yet that is taken for dead, and against one that is gone
-/// and never judged.
+/// Guards against treating a relay as dead that membership does not know yet, and against never detecting that a relay is
+/// gone.
 #[test]
-fn unknown_owners_get_time() {
+fn unknown_owners_get_a_grace_period() {
     let mut node = Node::in_first_placement("s1");
     let (first, second) = (record("first"), record("second"));
     node.ask(append(1, &first));
@@ -84,14 +84,14 @@
     node.ask(append(1, &pewterseam_wire::record::Record { owner: new_owner, ..second.clone() }));
     node.ask(claim(&first.name, &owner("b", 1), 1));
     node.advance(1_900 * MILLISECOND);
-    assert!(node.take_offers().is_empty(), "first heard of less than two seconds ago");
+    assert!(node.take_offers().is_empty(), "first seen less than two seconds ago");
     node.input(Input::Members(members(&[relay("b", 1), relay("new", 1)], &[])));
     node.advance(10 * SECOND);
     assert!(node.take_offers().is_empty());
 }
 
-/// Guards against the other messages of an owner that is found dead when one more of its messages comes: they must be
-/// offered as well.
+/// Guards against offering only the newest message of an owner that is found dead when that message arrives: its other
+/// messages must be offered as well.
 #[test]
 fn all_messages_of_a_dead_owner_are_offered() {
     let mut node = Node::in_first_placement("s1");
@@ -104,12 +104,12 @@
     assert_eq!(names, BTreeSet::from([record("first").name, record("second").name]));
 }
 
-/// Guards against stores that hand one message to several relays: all must choose the same heir, whatever the order
-/// of their members, and spread messages over all.
+/// Guards against stores that offer one message to several relays: all stores must choose the same relay, regardless of
+/// the order of their members, and distribute messages over all relays.
 #[test]
-fn all_stores_choose_the_same_heir() {
+fn all_stores_offer_a_message_to_the_same_relay() {
     let relays: Vec<_> = ["b", "c", "d", "e"].iter().map(|name| relay(name, 1)).collect();
-    let mut heirs = Vec::new();
+    let mut offers_by_store = Vec::new();
     for (name, is_reversed) in [("s1", false), ("s2", true)] {
         let mut node = Node::in_first_placement(name);
         let mut relays = relays.clone();
@@ -124,17 +124,17 @@
         }
         node.input(Input::Members(members(&relays, &[owner("a", 1)])));
         node.advance(900 * MILLISECOND);
-        heirs.push(offered(&mut node).into_iter().collect::<BTreeSet<_>>());
+        offers_by_store.push(offered(&mut node).into_iter().collect::<BTreeSet<_>>());
     }
-    assert_eq!(heirs[0].len(), 40);
-    assert_eq!(heirs[0], heirs[1]);
-    let used: BTreeSet<_> = heirs[0].iter().map(|(to, _)| to.clone()).collect();
-    assert_eq!(used.len(), 4, "all that are ready, and only they");
+    assert_eq!(offers_by_store[0].len(), 40);
+    assert_eq!(offers_by_store[0], offers_by_store[1]);
+    let used: BTreeSet<_> = offers_by_store[0].iter().map(|(to, _)| to.clone()).collect();
+    assert_eq!(used.len(), 4, "all ready relays, and only those");
 }
 
-/// Guards against messages of a stopping relay that wait until it is dead, or are handed back to it.
+/// Guards against messages of a stopping relay that are offered only after it is dead, or are offered to it again.
 #[test]
-fn released_messages_are_offered_at_once() {
+fn released_messages_are_offered_immediately() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.input(Input::Members(members(&[relay("a", 1), relay("b", 1), store_node("s1")], &[])));
@@ -155,9 +155,9 @@
     assert!(node.take_offers().is_empty());
 }
 
-/// Guards against a release without any other relay that is forgotten, or handed to nobody.
+/// Guards against a released message that is never offered because no other relay was live at the time of the release.
 #[test]
-fn offers_wait_for_a_relay() {
+fn offers_wait_for_a_live_relay() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.input(Input::Members(members(&[relay("a", 1)], &[])));
@@ -170,10 +170,10 @@
     assert_eq!(offered(&mut node).first(), Some(&(NodeName::new("b"), first.name)));
 }
 
-/// Guards against claims that go back to an earlier owner, and against two owners that are granted the same claim, also
-/// over a loss of power right after the grant.
+/// Guards against claims that return a message to an earlier owner, and against two owners that are granted the same claim
+/// number, including after a power loss right after the grant.
 #[test]
-fn of_equal_claims_the_first_is_granted() {
+fn first_of_equal_claims_is_granted() {
     let (b, c) = (owner("b", 1), owner("c", 1));
     let cases = [
         ([0, 1, 2, 3], [true, true, false, false], &c, 2),
@@ -209,9 +209,10 @@
     matches!(response, Some(StoreResponse::Declined { reason: Decline::OwnerHoldsLease, .. }))
 }
 
-/// Guards against two relays that both may send a message: a relay that others take for dead goes on by its lease.
+/// Guards against two relays that may both send a message: a relay that others consider dead may continue during its
+/// lease.
 #[test]
-fn a_claim_waits_for_the_lease_of_the_owner() {
+fn claim_is_declined_while_the_owner_holds_its_lease() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(append(1, &first));
@@ -224,26 +225,26 @@
     node.advance(OWNER_LEASE - 1_000);
     assert!(is_lease_held(&node.ask(claim(&first.name, &owner("b", 1), 1))), "renewed");
     node.advance(1_000);
-    assert!(is_done(&node.ask(claim(&first.name, &owner("b", 1), 1))), "lapsed");
+    assert!(is_done(&node.ask(claim(&first.name, &owner("b", 1), 1))), "expired");
 }
 
-/// Guards against messages of a relay that has started again, or gave them up, that wait for a lease without need.
+/// Guards against waiting for a lease needlessly, when the owner has restarted or has released the message.
 #[test]
-fn no_lease_outlives_its_process() {
+fn lease_ends_with_restart_or_release_of_the_owner() {
     let mut node = Node::in_first_placement("s1");
     let (first, second) = (record("first"), record("second"));
     node.ask(append(1, &first));
     node.ask(append(1, &second));
     node.ask(StoreRequest::Release { names: vec![second.name.clone()], owner: owner("a", 1) });
-    assert!(is_done(&node.ask(claim(&second.name, &owner("b", 1), 1))), "given up");
+    assert!(is_done(&node.ask(claim(&second.name, &owner("b", 1), 1))), "released");
     assert!(is_lease_held(&node.ask(claim(&first.name, &owner("b", 1), 1))));
     node.input(Input::Members(members(&[relay("a", 2), relay("b", 1)], &[])));
-    assert!(is_done(&node.ask(claim(&first.name, &owner("b", 1), 1))), "started again");
+    assert!(is_done(&node.ask(claim(&first.name, &owner("b", 1), 1))), "restarted");
 }
 
-/// Guards against a store that starts, has forgotten who holds a lease, and grants a claim.
+/// Guards against a restarted store that no longer knows the leases and grants a claim too early.
 #[test]
-fn a_store_that_starts_honours_leases_it_has_forgotten() {
+fn restarted_store_assumes_leases_are_held() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.ask(append(1, &first));
@@ -254,9 +255,9 @@
     assert!(is_done(&node.ask(claim(&first.name, &owner("b", 1), 1))));
 }
 
-/// Guards against an owner that was cut off, writes its record again, and takes it that the message is still its own.
+/// Guards against an owner that was cut off, writes its record again, and assumes that it still owns the message.
 #[test]
-fn a_record_that_has_moved_on_is_told_so() {
+fn append_of_a_claimed_or_ended_message_returns_its_status() {
     let mut node = Node::in_first_placement("s1");
     let (first, second) = (record("first"), record("second"));
     node.ask(append(1, &first));
@@ -266,22 +267,22 @@
     node.advance(OWNER_LEASE);
     node.ask(claim(&first.name, &owner("b", 1), 1));
     let claimed = Status::Open { owner: owner("b", 1), claim: 1, failures: 0, released: false };
-    assert_eq!(told_status(&node.ask(append(1, &first))), Some(claimed));
+    assert_eq!(status_in_response(&node.ask(append(1, &first))), Some(claimed));
     node.ask(ended(&second.name, completed("x")));
-    assert_eq!(told_status(&node.ask(append(1, &second))), Some(Status::Ended(completed("x"))));
+    assert_eq!(status_in_response(&node.ask(append(1, &second))), Some(Status::Ended(completed("x"))));
     let dead = record("dead");
     node.ask(ended(&dead.name, End::Refused));
     node.ask(append(1, &dead));
     assert_eq!(
-        told_status(&node.ask(append(1, &dead))),
+        status_in_response(&node.ask(append(1, &dead))),
         Some(Status::Ended(End::Refused)),
-        "known before its record"
+        "the end was known before the record"
     );
 }
 
-/// Guards against an heir whose copies of a record renew the lease of the dead owner that it names.
+/// Guards against a new owner whose copies of a record renew the lease of the dead owner named in the record.
 #[test]
-fn a_copy_of_a_record_renews_no_lease() {
+fn append_of_a_copy_does_not_renew_the_lease() {
     let mut node = Node::in_first_placement("s1");
     let first = record("first");
     node.advance(OWNER_LEASE);
@@ -289,10 +290,10 @@
     assert!(is_done(&node.ask(claim(&first.name, &owner("b", 1), 1))));
 }
 
-/// Guards against a store that pours all messages of a dead relay into one notice, or that offers with all the other
-/// stores of a group at the same time.
+/// Guards against a store that puts all messages of a dead relay into one notice, and against all stores of a group
+/// offering at the same time.
 #[test]
-fn offers_are_paced_and_take_turns() {
+fn offers_are_paced_and_staggered_between_stores() {
     let live = [relay("b", 1), store_node("s1"), store_node("s2"), store_node("s3")];
     let mut first_times = Vec::new();
     for name in ["s1", "s2", "s3"] {
@@ -320,9 +321,9 @@
     assert_eq!(first_times, [0, 150, 300]);
 }
 
-/// Guards against a message that is offered in spite of its end while its body was read back.
+/// Guards against notices that exceed the size limit when bodies are read back from the log.
 #[test]
-fn large_messages_go_in_pieces() {
+fn offer_notices_are_limited_in_size() {
     let mut node = Node::in_first_placement("s1");
     node.settings.memory_bytes = 0;
     node.restart();
@@ -342,9 +343,9 @@
     );
 }
 
-/// Guards against a message that waits for ever because nobody told its owner that the one before it has ended.
+/// Guards against a message that waits forever because its owner is not notified that the predecessor has ended.
 #[test]
-fn owners_hear_of_predecessors() {
+fn owners_are_notified_of_ended_predecessors() {
     let mut node = Node::in_first_placement("s1");
     let first = keyed("first", "key", &[]);
     let mut second = keyed("second", "key", &[&first.name]);
@@ -357,13 +358,13 @@
     let notice = (NodeName::new("b"), StoreNotice::PredecessorEnded { name: first.name.clone() });
     assert_eq!(node.notices, std::slice::from_ref(&notice));
     node.advance(3_500 * MILLISECOND);
-    assert_eq!(node.notices.len(), 4, "again each second while the message is open");
+    assert_eq!(node.notices.len(), 4, "repeated each second while the message is open");
     node.advance(60 * SECOND);
     assert_eq!(node.notices.len(), 5, "and at most five times");
     let mut third = keyed("third", "key", &[&first.name]);
     third.owner = owner("b", 1);
     node.ask(append(1, &third));
-    assert_eq!(node.notices.len(), 6, "also when it had ended before");
+    assert_eq!(node.notices.len(), 6, "also sent if the predecessor had ended before");
     node.ask(ended(&third.name, completed("x")));
     node.advance(10 * SECOND);
     assert_eq!(node.notices.len(), 6, "ended messages wait for nothing");
@@ -373,10 +374,11 @@
     assert_eq!(node.notices, [notice], "also after a restart");
 }
 
-/// Guards LOST, seed 8504 of whole clusters: all processes lose power, a relay's time of day is set back, and its next life
-/// counts as an earlier one. Nobody remembers the life that owned the message; the store alone does, in its record.
+/// Guards against a lost message after all processes lose power and a relay's time of day is set back, so that its next
+/// life number is lower than before (seed 8504 of the cluster simulation). Only the record in the store still names the
+/// life that owned the message.
 #[test]
-fn an_owner_whose_node_came_back_with_a_lower_life_is_over() {
+fn owner_whose_node_restarted_with_a_lower_life_is_ended() {
     let mut node = Node::in_first_placement("s1");
     let first = Record { owner: owner("a", 9), ..record("first") };
     node.ask(append(1, &first));
@@ -384,14 +386,14 @@
     node.input(Input::Placement(placement(1, &[&["s1", "s2", "s3"]])));
     node.input(Input::Members(members(&[relay("a", 5), relay("b", 5)], &[])));
     node.advance(SECOND);
-    assert!(node.take_offers().is_empty(), "membership may not have heard of the owner's life yet");
+    assert!(node.take_offers().is_empty(), "membership may not know the owner's life yet");
     node.advance(3 * SECOND);
     assert!(offered(&mut node).iter().any(|(_, name)| *name == first.name));
 }
 
-/// Guards against the same grace being given to a life that membership has: its messages are offered to nobody.
+/// Guards against treating an owner as ended although membership lists its life as live: its messages must not be offered.
 #[test]
-fn an_owner_of_the_life_that_lives_is_not_over() {
+fn owner_with_a_live_life_is_not_ended() {
     let mut node = Node::in_first_placement("s1");
     let first = Record { owner: owner("a", 9), ..record("first") };
     node.ask(append(1, &first));
--- a/crates/message-log/tests/restart.rs
+++ b/crates/message-log/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Random requests with losses of power, small segments and cleaning: what was acknowledged stays.
+//! Random requests with power losses, small segments and log cleaning: acknowledged data must be kept.
 
 mod common;
 
@@ -30,7 +30,7 @@
         message: u8,
         claim: u8,
     },
-    /// From now on writes wait for the next such step, or are synced at once again.
+    /// Syncs all waiting writes. From then on writes are synced immediately, or wait for the next such step.
     Sync {
         at_once: bool,
     },
@@ -63,11 +63,11 @@
     }
 }
 
-/// What was acknowledged of a message.
+/// The acknowledged state of a message.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct Acknowledged {
     is_appended: bool,
-    /// The rank of the best acknowledged end.
+    /// The lowest rank of all acknowledged ends, which takes precedence.
     end: Option<u8>,
     /// The ranks of all ends that were sent.
     sent_ends: Vec<u8>,
@@ -82,7 +82,7 @@
     }
 }
 
-/// A message whose time does not end within a test.
+/// A message that does not expire during a test.
 fn message(number: u8, size: u16) -> Record {
     let mut record = keyed(&format!("m{number}"), &format!("key {}", number % 5), &[]);
     record.retention_ms = 3_600_000;
@@ -95,32 +95,32 @@
     Record { retention_ms: SHORT_RETENTION_MS, ..message(number, size) }
 }
 
-fn place(node: &mut Node) {
+fn set_placement(node: &mut Node) {
     node.input(Input::Placement(placement(1, &[&["s1", "s2", "s3"]])));
 }
 
-fn check(node: &mut Node, known: &BTreeMap<u8, Known>) -> Result<(), String> {
+fn check(node: &mut Node, known: &BTreeMap<u8, Acknowledged>) -> Result<(), String> {
     for (number, known) in known {
         let name = message(*number, 0).name;
         let status = node.look(&name).ok_or("no answer")?;
         let fail = |what: &str| Err(format!("message {number}: {what}; {known:?}, {status:?}"));
         match &status {
             Status::Ended(end) if !known.sent_ends.contains(&end.rank()) => {
-                return fail("an end that nobody sent");
+                return fail("the end was never sent");
             }
             Status::Ended(end) if known.end.is_some_and(|best| end.rank() > best) => {
-                return fail("a worse end");
+                return fail("the end has a higher rank than the acknowledged one");
             }
             Status::Ended(_) => {}
-            _ if known.end.is_some() => return fail("the end is gone"),
-            Status::Unknown if known.is_appended => return fail("the record is gone"),
+            _ if known.end.is_some() => return fail("the end is lost"),
+            Status::Unknown if known.is_appended => return fail("the record is lost"),
             _ => {}
         }
         let is_completed = matches!(status, Status::Ended(End::Completed { .. }));
         if known.is_appended && !is_completed {
-            let Some(record) = node.fetch(&name) else { return fail("the body is gone") };
+            let Some(record) = node.fetch(&name) else { return fail("the body is lost") };
             if record.body.iter().any(|byte| byte != number) {
-                return fail("another body");
+                return fail("the body differs");
             }
             let is_listed = node.open_names(1, &format!("key {}", number % 5)).contains(&name);
             if is_listed == matches!(status, Status::Ended(_)) {
@@ -131,16 +131,16 @@
     Ok(())
 }
 
-/// What the answer to a request will acknowledge.
+/// What the response to a request will acknowledge.
 enum Sent {
     Append(u8),
     End(u8, u8),
 }
 
-/// A store under test with what it has acknowledged.
+/// A store under test, with the state that it has acknowledged.
 struct Run {
     node: Node,
-    known: BTreeMap<u8, Known>,
+    known: BTreeMap<u8, Acknowledged>,
     sent: BTreeMap<u64, Sent>,
 }
 
@@ -148,16 +148,16 @@
     fn restart(&mut self) {
         self.node.restart();
         self.sent.clear();
-        place(&mut self.node);
+        set_placement(&mut self.node);
     }
 
-    /// Notes what was acknowledged.
+    /// Records the acknowledgements in the responses.
     fn collect(&mut self) {
         for (token, response) in std::mem::take(&mut self.node.answers) {
             let response = Some(response);
-            // A record that has another owner by now, or has ended, is acknowledged with its status.
-            let is_kept = is_done(&response) || told_status(&response).is_some();
-            let sent = self.sent.remove(&token).filter(|_| is_kept);
+            // An append to a message that has another owner or has ended is acknowledged with the status of the message.
+            let is_acknowledged = is_done(&response) || status_in_response(&response).is_some();
+            let sent = self.sent.remove(&token).filter(|_| is_acknowledged);
             match sent {
                 Some(Sent::Append(number)) => self.known.entry(number).or_default().is_appended = true,
                 Some(Sent::End(number, rank)) => {
@@ -173,7 +173,7 @@
         let node = &mut self.node;
         match step {
             Step::Append { message: number, size } => {
-                // Half of the records leave the owner without a lease, so that claims are granted.
+                // Half of the appends do not renew the lease of the owner, so that claims can be granted.
                 let renews_lease = number % 2 == 0;
                 let (epoch, record) = (PlacementEpoch(1), message(number, size));
                 let token = node.send(StoreRequest::Append { epoch, record, renews_lease });
@@ -215,7 +215,7 @@
 }
 
 fn run(steps: Vec<Step>, has_memory: bool) -> Result<(), String> {
-    // So small a disk that cleaning is under way most of the time, and that records are declined now and then.
+    // The disk is so small that cleaning runs most of the time, and that records are occasionally declined.
     let settings = StoreSettings {
         memory_bytes: if has_memory { 1_000_000 } else { 0 },
         clean_above_bytes: 2_000,
@@ -225,7 +225,7 @@
     };
     let options = LogOptions { segment_bytes: 500 };
     let mut node = Node::on(settings, SimulatedFiles::new(), options, 0);
-    place(&mut node);
+    set_placement(&mut node);
     node.advance(OWNER_LEASE);
     let mut run = Run { node, known: BTreeMap::new(), sent: BTreeMap::new() };
     for step in steps {
@@ -241,21 +241,21 @@
     check(&mut run.node, &run.known)
 }
 
-/// Guards against acknowledged records, ends and bodies that a restart, a loss of power or cleaning takes away, and
-/// against ends that appear by themselves.
+/// Guards against acknowledged records, ends and bodies that are lost by a restart, a power loss or cleaning, and against
+/// ends that were never sent.
 #[test]
-fn what_was_acknowledged_stays() {
+fn acknowledged_data_survives_restarts_and_cleaning() {
     let property = run as fn(Vec<Step>, bool) -> Result<(), String>;
     QuickCheck::new().rng(Gen::new(1_000)).tests(300).quickcheck(property);
 }
 
-/// Guards against messages that were ended and forgotten and that come back open, because the segment with their
-/// record outlived the one with their end.
+/// Guards against ended and forgotten messages that become open again, because the segment with their record was kept
+/// longer than the segment with their end.
 #[test]
-fn what_was_forgotten_stays_so() {
+fn forgotten_messages_do_not_become_open_again() {
     let settings = StoreSettings { clean_above_bytes: 8_000, ..settings("s1") };
     let mut node = Node::on(settings, SimulatedFiles::new(), LogOptions { segment_bytes: 1_000 }, 0);
-    place(&mut node);
+    set_placement(&mut node);
     let fill = |node: &mut Node, from: u32, count: u32| {
         for number in from..from + count {
             let mut record = record(&format!("fill{number}"));
@@ -278,21 +278,21 @@
         fill(&mut node, 100 + number, 1);
         node.advance(10 * SECOND);
         node.restart();
-        place(&mut node);
+        set_placement(&mut node);
         for record in [&end_first, &record_first, &dead] {
             assert_eq!(node.look(&record.name), Some(Status::Unknown), "{:?} after {number}", record.name);
         }
     }
 }
 
-/// Guards against a segment that is removed before what was still needed of it is on the disk elsewhere.
+/// Guards against removing a segment before the copies of its needed entries are synced.
 #[test]
-fn a_segment_goes_after_its_copies_are_synced() {
-    let mut cleaned = 0;
+fn segment_is_removed_only_after_its_copies_are_synced() {
+    let mut rounds_with_waiting_copies = 0;
     for count in 0..20 {
         let settings = StoreSettings { clean_above_bytes: 8_000, ..settings("s1") };
         let mut node = Node::on(settings, SimulatedFiles::new(), LogOptions { segment_bytes: 1_000 }, 0);
-        place(&mut node);
+        set_placement(&mut node);
         let kept = message(1, 200);
         node.ask(append(1, &kept));
         for number in 0..=count {
@@ -302,26 +302,26 @@
             node.send(append(1, &record));
             node.send(ended(&record.name, completed("x")));
         }
-        // The write after which cleaning may begin; its copies then wait.
+        // Cleaning may start after this write; its copies then wait for a sync.
         node.sync();
         for _ in 0..20 {
             node.input(Input::Tick);
         }
-        cleaned += usize::from(!node.unsynced.is_empty());
+        rounds_with_waiting_copies += usize::from(!node.unsynced.is_empty());
         node.files.lose_power(count);
         node.restart();
-        place(&mut node);
+        set_placement(&mut node);
         assert_eq!(node.fetch(&kept.name), Some(kept), "after {count}");
     }
-    assert!(cleaned > 0, "copies were waiting at least once");
+    assert!(rounds_with_waiting_copies > 0, "copies were waiting at least once");
 }
 
-/// Guards against a dead letter's body that goes with its segment, while the end lies in a later one.
+/// Guards against losing the body of a dead letter with its segment, while its end is in a later segment.
 #[test]
-fn a_body_outlives_its_segment() {
+fn dead_letter_body_survives_removal_of_its_segment() {
     let settings = StoreSettings { clean_above_bytes: 4_000, ..settings("s1") };
     let mut node = Node::on(settings, SimulatedFiles::new(), LogOptions { segment_bytes: 1_000 }, 0);
-    place(&mut node);
+    set_placement(&mut node);
     let dead = message(1, 200);
     node.ask(append(1, &dead));
     for number in 0..200 {
@@ -335,7 +335,7 @@
         node.advance(SECOND);
         if number % 10 == 0 {
             node.restart();
-            place(&mut node);
+            set_placement(&mut node);
         }
         if number < 100 {
             assert_eq!(node.fetch(&dead.name).as_ref(), Some(&dead), "after {number}");
@@ -344,12 +344,12 @@
     assert!(node.files.content("segment-0000000000000001").is_none(), "the first segment was cleaned");
 }
 
-/// Guards against a log that grows with all that was ever written, or that forgets what is still needed.
+/// Guards against a log that grows without bound, and against cleaning that drops data that is still needed.
 #[test]
-fn the_log_stays_small() {
+fn log_size_stays_bounded() {
     let settings = StoreSettings { clean_above_bytes: 64 * 1024, ..settings("s1") };
     let mut node = Node::on(settings, SimulatedFiles::new(), LogOptions { segment_bytes: 16 * 1024 }, 0);
-    place(&mut node);
+    set_placement(&mut node);
     let kept = message(200, 500);
     let dead = short_lived(201, 500);
     node.ask(append(1, &kept));
@@ -357,7 +357,7 @@
     node.advance(OWNER_LEASE);
     node.ask(StoreRequest::Claim { names: vec![kept.name.clone()], owner: owner("b", 2), claim: 3 });
     node.ask(ended(&dead.name, End::Refused));
-    let mut most = 0;
+    let mut max_log_bytes = 0;
     for number in 0..20_000 {
         let mut record = record(&format!("r{number}"));
         record.body = vec![1; 1_000].into();
@@ -365,17 +365,17 @@
         assert!(is_done(&node.ask(append(1, &record))));
         assert!(is_done(&node.ask(ended(&record.name, completed("x")))));
         node.advance(20 * MILLISECOND);
-        most = most.max(node.log_bytes());
+        max_log_bytes = max_log_bytes.max(node.log_bytes());
         if number == 3_000 {
             assert_eq!(node.fetch(&dead.name), Some(dead.clone()), "a dead letter survives cleaning");
         }
     }
     // 6,000 ends are remembered at a time.
-    assert!(most < 3_000_000, "{most}");
+    assert!(max_log_bytes < 3_000_000, "{max_log_bytes}");
     assert_eq!(node.fetch(&kept.name), Some(kept.clone()));
     node.files.lose_power(0);
     node.restart();
-    place(&mut node);
+    set_placement(&mut node);
     assert_eq!(node.fetch(&kept.name), Some(kept.clone()));
     let status = Status::Open { owner: owner("b", 2), claim: 3, failures: 0, released: false };
     assert_eq!(node.look(&kept.name), Some(status));
--- a/crates/message-log/tests/retirement.rs
+++ b/crates/message-log/tests/retirement.rs
@@ -1,4 +1,5 @@
-//! Stores leave: each record is at `f + 1` of those that stay before the old set goes, whoever leaves and comes.
+//! Retirement of stores: before the old set is dropped, each record must be on `f + 1` of the target stores, whichever
+//! stores leave and join.
 
 mod common;
 
@@ -20,12 +21,12 @@
 
 const SEEDS: u64 = 60;
 
-/// Which stores must have told that they copied before the old set goes.
+/// Which stores must have finished copying before the old set is dropped.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Waits {
-    ForAll,
-    /// Planted: `f` of them may be missing.
-    ForAllButSome,
+enum CopyRequirement {
+    All,
+    /// A deliberate fault: `f` of the stores may be missing.
+    AllButTolerated,
 }
 
 fn entry(number: usize) -> StoreEntry {
@@ -41,7 +42,7 @@
     nodes.iter_mut().find(|node| node.id().name == *name).expect("a store")
 }
 
-/// A move in which stores leave and others come, with one process killed in the middle of it.
+/// A move in which some stores leave and others join, with one process killed in the middle of it.
 struct Move {
     random: Random,
     nodes: Vec<Node>,
@@ -55,22 +56,22 @@
         let mut random = Random::new(seed);
         let count = 3 + random.below(4);
         let leaving = 1 + random.below(2);
-        let coming = leaving + random.below(2);
+        let joining = leaving + random.below(2);
         let current: Vec<StoreEntry> = (0..count).map(entry).collect();
-        let target: Vec<StoreEntry> = (leaving..count + coming).map(entry).collect();
-        let nodes = (0..count + coming).map(|number| Node::new(settings(&format!("s{number}")))).collect();
+        let target: Vec<StoreEntry> = (leaving..count + joining).map(entry).collect();
+        let nodes = (0..count + joining).map(|number| Node::new(settings(&format!("s{number}")))).collect();
         let records = (0..RECORDS).map(|number| keyed(&format!("r{number}"), &format!("key {number}"), &[]));
         Move { random, nodes, current, target, records: records.collect() }
     }
 
-    fn put_in_force(&mut self, epoch: u64, sets: Vec<Vec<StoreEntry>>) {
+    fn set_placement(&mut self, epoch: u64, sets: Vec<Vec<StoreEntry>>) {
         let placement = placement_of(epoch, sets);
         for node in &mut self.nodes {
             node.input(Input::Placement(placement.clone()));
         }
     }
 
-    /// Each record is written to just `f + 1` of its group, whichever these are.
+    /// Writes each record to exactly `f + 1` randomly chosen stores of its group.
     fn write(&mut self) {
         let placement = placement_of(1, vec![self.current.clone()]);
         for record in &self.records {
@@ -83,11 +84,12 @@
         }
     }
 
-    /// A store of the target is killed after some of its copying, and goes on after its start.
+    /// Starts the move and delivers all requests. A random target store is killed during its copying and restarted, unless
+    /// a store is down.
     fn copy(&mut self, down: Option<&NodeName>) {
         let sets = vec![self.current.clone(), self.target.clone()];
         let victim = self.target[self.random.below(self.target.len())].id.name.clone();
-        self.put_in_force(2, sets.clone());
+        self.set_placement(2, sets.clone());
         if let Some(down) = down {
             node(&mut self.nodes, down).pulls.clear();
         } else {
@@ -107,10 +109,10 @@
         self.target.iter().all(|entry| Some(&entry.id.name) == down || copied(entry))
     }
 
-    /// The fewest stores of the target's group that hold a record, and whether a read of the group can miss one.
+    /// Drops the old set and returns the smallest number of copies of any record in its target group.
     fn fewest_copies(&mut self) -> usize {
         let placement = placement_of(3, vec![self.target.clone()]);
-        self.put_in_force(3, vec![self.target.clone()]);
+        self.set_placement(3, vec![self.target.clone()]);
         let mut fewest = usize::MAX;
         for record in &self.records {
             let group = placement.groups(record.partition).remove(0);
@@ -129,33 +131,38 @@
     }
 }
 
-/// The fewest copies of any record once the old set is gone.
-fn retire(seed: u64, waits: Waits) -> usize {
+/// Runs a move and returns the smallest number of copies of any record after the old set is dropped.
+fn retire(seed: u64, requirement: CopyRequirement) -> usize {
     let mut moving = Move::new(seed);
-    moving.put_in_force(1, vec![moving.current.clone()]);
+    moving.set_placement(1, vec![moving.current.clone()]);
     moving.write();
-    let newcomer = moving.target.last().map(|entry| entry.id.name.clone());
-    let down = newcomer.filter(|_| waits == Waits::ForAllButSome);
+    let joining_store = moving.target.last().map(|entry| entry.id.name.clone());
+    let down = joining_store.filter(|_| requirement == CopyRequirement::AllButTolerated);
     moving.copy(down.as_ref());
-    assert!(moving.have_copied(down.as_ref()), "seed {seed}: the copying does not end");
+    assert!(moving.have_copied(down.as_ref()), "seed {seed}: copying does not finish");
     moving.fewest_copies()
 }
 
-/// Guards against a record that is at fewer than `f + 1` stores once those that left are gone.
+/// Guards against a record that is on fewer than `f + 1` stores after the retired stores are gone.
 #[test]
-fn each_record_is_at_enough_stores_once_all_have_copied() {
+fn each_record_has_enough_copies_once_all_stores_have_copied() {
     for seed in 0..SEEDS {
-        let fewest = retire(seed, Waits::ForAll);
+        let fewest = retire(seed, CopyRequirement::All);
         assert!(fewest > usize::from(TOLERATED), "seed {seed}: a record has {fewest} copies");
     }
 }
 
-/// Guards against a check that sees nothing: where `f` of the target's stores need not have copied, records are left
-/// with fewer copies than a read is sure to meet.
+/// Guards against a test that detects nothing: if `f` of the target stores need not have finished copying, some records
+/// must end up with fewer copies than a read quorum is certain to reach.
 #[test]
-fn a_move_that_does_not_wait_for_all_is_found() {
-    let short = (0..SEEDS).filter(|seed| retire(*seed, Waits::ForAllButSome) <= usize::from(TOLERATED));
-    let short: Vec<u64> = short.collect();
-    println!("too few copies in {} of {SEEDS} seeds, the first is {:?}", short.len(), short.first());
-    assert!(short.len() as u64 > SEEDS / 2);
+fn move_that_does_not_wait_for_all_stores_is_detected() {
+    let seeds_with_too_few =
+        (0..SEEDS).filter(|seed| retire(*seed, CopyRequirement::AllButTolerated) <= usize::from(TOLERATED));
+    let seeds_with_too_few: Vec<u64> = seeds_with_too_few.collect();
+    println!(
+        "too few copies in {} of {SEEDS} seeds, the first is {:?}",
+        seeds_with_too_few.len(),
+        seeds_with_too_few.first()
+    );
+    assert!(seeds_with_too_few.len() as u64 > SEEDS / 2);
 }
--- a/crates/storage/tests/append_queue.rs
+++ b/crates/storage/tests/append_queue.rs
@@ -1,4 +1,4 @@
-//! Writes that must keep their order.
+//! The queue of writes that must keep their order.
 
 use bytes::Bytes;
 use pewterseam_storage::{AppendQueue, PendingWrite};
@@ -7,9 +7,9 @@
     PendingWrite::Append { records: vec![Bytes::from(sequence.to_string())], sequence }
 }
 
-/// Guards against a record that is written after one that failed: the log then has a gap and cannot be read back.
+/// Guards against writing a record after one that failed: the log would then have a gap and could not be read back.
 #[test]
-fn a_failed_write_is_written_again_before_any_later_one() {
+fn failed_write_is_repeated_before_any_later_write() {
     let mut queue = AppendQueue::default();
     queue.push(append(1));
     assert_eq!(queue.begin(), Some(append(1)));
@@ -24,9 +24,9 @@
     assert_eq!(queue.begin(), None);
 }
 
-/// Guards against a snapshot that overtakes records, or records that overtake it.
+/// Guards against a snapshot that is written before earlier records or after later records.
 #[test]
-fn a_snapshot_keeps_its_place() {
+fn snapshot_keeps_its_place_in_the_queue() {
     let mut queue = AppendQueue::default();
     let snapshot = PendingWrite::Snapshot { snapshot: Bytes::from("state"), sequence: 2 };
     for write in [append(1), snapshot.clone(), append(3)] {
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -1,14 +1,14 @@
-//! What several tests of the log use.
+//! Helpers shared by the tests of the log.
 
 #![allow(dead_code)]
 
 use bytes::Bytes;
 use pewterseam_storage::{Log, LogOptions, Position, RecoveredFrom, SimulatedFiles, StorageError};
 
-/// Small segments, so that a few records fill several.
+/// Small segments, so that a few records fill several segments.
 pub const SMALL: LogOptions = LogOptions { segment_bytes: 256 };
 
-/// The file of a segment.
+/// The file name of a segment.
 pub fn segment(number: u64) -> String {
     format!("segment-{number:016x}")
 }
@@ -21,7 +21,7 @@
     texts.iter().map(|text| bytes(text)).collect()
 }
 
-/// A log with what was found in it: payloads with their sequence numbers (0 in a snapshot) and positions.
+/// An opened log with its recovered records: sequence number (0 in a snapshot), position and payload of each.
 pub type Opened = (Log<SimulatedFiles>, Vec<(u64, Option<Position>, Vec<u8>)>);
 
 pub fn open(files: &SimulatedFiles, options: LogOptions) -> Result<Opened, StorageError> {
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Synced bytes that have changed or are missing.
+//! Detection of synced bytes that have changed or are missing.
 
 mod common;
 
@@ -16,10 +16,10 @@
     Ok(files)
 }
 
-/// Guards against damage in the middle that is taken for a torn tail, so that synced records after it are cut off
-/// in silence.
+/// Guards against damage in the middle that is treated as a torn tail, so that synced records after it are silently
+/// truncated.
 #[test]
-fn damage_before_the_last_batch_is_told() -> Result<(), StorageError> {
+fn damage_before_the_last_batch_is_reported() -> Result<(), StorageError> {
     let files = three_batches(LogOptions::default())?;
     let content = files.content(&segment(1)).unwrap_or_default();
     // The last batch starts with the frame of "four": two frames of a header and four bytes.
@@ -28,20 +28,24 @@
         files.damage(&segment(1), offset);
         match open(&files, LogOptions::default()).map(drop) {
             Err(StorageError::Damaged { .. }) => {}
-            // The bytes 7 and 24 to 27 of a header have no meaning yet, but its checksum covers them.
+            // Bytes 7 and 24 to 27 of a header are unused, but its checksum covers them.
             other => panic!("byte {offset}: {other:?}"),
         }
-        assert_eq!(files.content(&segment(1)).unwrap_or_default().len(), content.len(), "nothing is cut off");
+        assert_eq!(
+            files.content(&segment(1)).unwrap_or_default().len(),
+            content.len(),
+            "nothing is truncated"
+        );
         files.damage(&segment(1), offset);
     }
     assert_eq!(texts(&files, LogOptions::default())?.len(), 5);
     Ok(())
 }
 
-/// Guards against an error that leaves the operator without advice, and against whole records that cannot be read
-/// because another one is damaged.
+/// Guards against an error without advice for the operator, and against intact records that cannot be read because
+/// another record is damaged.
 #[test]
-fn what_is_whole_can_be_read() -> Result<(), StorageError> {
+fn intact_records_of_a_damaged_log_can_be_salvaged() -> Result<(), StorageError> {
     let files = three_batches(LogOptions::default())?;
     files.damage(&segment(1), SEGMENT_HEADER_BYTES + pewterseam_storage::FRAME_HEADER_BYTES);
     let error = match open(&files, LogOptions::default()) {
@@ -59,9 +63,10 @@
     Ok(())
 }
 
-/// Guards against a torn end of a segment that is not the last: it was synced before the next one was begun.
+/// Guards against accepting a torn tail in a segment that is not the last one: it was synced before the next segment was
+/// started.
 #[test]
-fn an_earlier_segment_has_no_torn_tail() -> Result<(), StorageError> {
+fn torn_tail_of_an_earlier_segment_is_damage() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, LogOptions { segment_bytes: 1 })?;
     log.append(&batch(&["one"]))?;
@@ -72,9 +77,9 @@
     Ok(())
 }
 
-/// Guards against a segment that is missing between two others and goes unnoticed.
+/// Guards against an undetected gap where a segment is missing between two others.
 #[test]
-fn a_missing_segment_is_told() -> Result<(), StorageError> {
+fn missing_segment_is_reported() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, LogOptions { segment_bytes: 1 })?;
     for text in ["one", "two", "three"] {
@@ -89,9 +94,9 @@
     Ok(())
 }
 
-/// Guards against a damaged snapshot that is passed over, so that an older state comes back.
+/// Guards against a damaged snapshot that is skipped, so that an older state is restored.
 #[test]
-fn a_damaged_snapshot_is_told() -> Result<(), StorageError> {
+fn damaged_snapshot_is_reported() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, SMALL)?;
     log.append(&batch(&["one", "two"]))?;
@@ -113,9 +118,9 @@
     Ok(())
 }
 
-/// Guards against a folder in use that is given a new identity: its records would count for another disk.
+/// Guards against a new identity for a folder that is in use: its records would be attributed to another disk.
 #[test]
-fn a_folder_in_use_keeps_its_identity() -> Result<(), StorageError> {
+fn folder_in_use_keeps_its_identity() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let id = open_disk_id(&mut files.clone())?;
     assert_eq!(open_disk_id(&mut files.clone())?, id);
@@ -133,17 +138,17 @@
     Ok(())
 }
 
-/// Guards against an identity that somebody was told and that a loss of power takes back.
+/// Guards against an identity that was returned and that a power loss erases.
 #[test]
-fn a_told_identity_survives() -> Result<(), StorageError> {
+fn returned_identity_survives_power_loss() -> Result<(), StorageError> {
     for seed in 0..200 {
         let files = SimulatedFiles::new();
         files.fail_syncs((seed % 3) as u32);
-        let told = open_disk_id(&mut files.clone());
+        let returned = open_disk_id(&mut files.clone());
         files.lose_power(seed);
         let later = open_disk_id(&mut files.clone())?;
-        if let Ok(told) = told {
-            assert_eq!(told, later, "seed {seed}");
+        if let Ok(returned) = returned {
+            assert_eq!(returned, later, "seed {seed}");
         }
     }
     Ok(())
--- a/crates/storage/tests/format.rs
+++ b/crates/storage/tests/format.rs
@@ -1,18 +1,18 @@
-//! The format of version 1, kept as bytes: files of it must stay readable.
+//! Format version 1 as fixed bytes: files in this format must stay readable.
 
 mod common;
 
 use common::{SMALL, batch, open, segment, texts};
 use pewterseam_storage::{SimulatedFiles, StorageError};
 
-/// Segment 1 from sequence number 3 on: a batch of "alpha" and "beta", then one of "gamma".
+/// Segment 1, which starts at sequence number 3: a batch of "alpha" and "beta", then a batch of "gamma".
 const SEGMENT_1: &str = concat!(
     "5057534c0100000003000000000000000100000000000000000000002b503f9d7265633105000000",
     "01000000a52fe213616c70686172656331040000000100008063964aab6265746172656331050000",
     "0002000080a3ee7c2067616d6d61",
 );
 
-/// A snapshot that covers up to 2, with "state".
+/// A snapshot that covers up to sequence number 2, with the record "state".
 const SNAPSHOT_2: &str = concat!(
     "5057534c010001000200000000000000010000000000000000000000ad0f70ef7265633105000000",
     "01000080ecd0217e7374617465",
@@ -30,9 +30,9 @@
     files
 }
 
-/// Guards against a change that leaves the files of earlier programs unreadable.
+/// Guards against a change that makes the files of earlier versions unreadable.
 #[test]
-fn version_1_is_read() -> Result<(), StorageError> {
+fn format_version_1_is_readable() -> Result<(), StorageError> {
     let files = version_1();
     assert_eq!(texts(&files, SMALL)?, ["state", "alpha", "beta", "gamma"]);
     let (log, _) = open(&files, SMALL)?;
@@ -40,9 +40,9 @@
     Ok(())
 }
 
-/// Guards against a change of what is written without a new version.
+/// Guards against a change of the written format without a new format version.
 #[test]
-fn version_1_is_written() -> Result<(), StorageError> {
+fn format_version_1_is_written() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     files.put("snapshot-0000000000000002", &from_hex(SNAPSHOT_2));
     let (mut log, _) = open(&files, SMALL)?;
@@ -52,9 +52,9 @@
     Ok(())
 }
 
-/// Guards against a newer file that is read as if it were of version 1.
+/// Guards against reading a file of a newer format as if it had version 1.
 #[test]
-fn a_newer_version_is_told() {
+fn newer_format_version_is_reported() {
     let files = version_1();
     let mut content = from_hex(SEGMENT_1);
     content[4] = 2;
@@ -64,7 +64,7 @@
     assert!(matches!(open(&files, SMALL), Err(StorageError::UnknownVersion { version: 2, .. })));
 }
 
-/// CRC-32 as in IEEE 802.3, by its definition.
+/// CRC-32 as defined in IEEE 802.3.
 fn crc32(bytes: &[u8]) -> u32 {
     !bytes.iter().fold(!0, |crc: u32, byte| {
         (0..8).fold(crc ^ u32::from(*byte), |crc, _| (crc >> 1) ^ (0xedb8_8320 & (crc & 1).wrapping_neg()))
--- a/crates/storage/tests/log.rs
+++ b/crates/storage/tests/log.rs
@@ -1,13 +1,13 @@
-//! The log's plain work: order, positions, segments, snapshots, full disks, real files.
+//! The basic functions of the log: order, positions, segments, snapshots, full disks and real files.
 
 mod common;
 
 use common::{SMALL, batch, bytes, open, segment, texts};
 use pewterseam_storage::{DataFolder, Log, LogOptions, SimulatedFiles, StorageError, open_disk_id};
 
-/// Guards against a batch that costs more than one sync.
+/// Guards against more than one sync per batch.
 #[test]
-fn one_sync_for_a_batch() -> Result<(), StorageError> {
+fn batch_is_written_with_one_sync() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, LogOptions::default())?;
     log.append(&batch(&["first"]))?;
@@ -17,9 +17,9 @@
     Ok(())
 }
 
-/// Guards against positions that lead to another record, before and after a restart, and over segments.
+/// Guards against positions that refer to the wrong record, before and after a restart and across segments.
 #[test]
-fn positions_lead_back() -> Result<(), StorageError> {
+fn positions_refer_to_their_records() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, SMALL)?;
     let mut written = Vec::new();
@@ -45,9 +45,9 @@
     Ok(())
 }
 
-/// Guards against segments that grow without bound, and a removal that takes the segment in use.
+/// Guards against segments that grow without bound, and against removal of the segment that is written to.
 #[test]
-fn segments_are_bounded() -> Result<(), StorageError> {
+fn segment_size_is_bounded_and_last_segment_is_kept() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, SMALL)?;
     for number in 0..200 {
@@ -61,10 +61,9 @@
     Ok(())
 }
 
-/// Guards against records that a snapshot covers and that come back beside it, and against sequence numbers that
-/// start again.
+/// Guards against recovering records that a snapshot covers, and against sequence numbers that restart.
 #[test]
-fn a_snapshot_stands_for_what_it_covers() -> Result<(), StorageError> {
+fn snapshot_replaces_the_records_that_it_covers() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, SMALL)?;
     for number in 0..30 {
@@ -84,35 +83,36 @@
     Ok(())
 }
 
-/// Guards against a full disk that stops the log for good, loses what was acknowledged, or lets through what was not.
+/// Guards against a full disk that stops the log permanently, loses acknowledged records, or leaves records that were not
+/// acknowledged.
 #[test]
-fn a_full_disk_and_room_again() -> Result<(), StorageError> {
-    for room in 0..80 {
+fn log_recovers_from_a_full_disk() -> Result<(), StorageError> {
+    for free_bytes in 0..80 {
         let files = SimulatedFiles::new();
         let (mut log, _) = open(&files, SMALL)?;
         log.append(&batch(&["one"]))?;
-        files.set_capacity(Some(files.bytes() + room));
+        files.set_capacity(Some(files.bytes() + free_bytes));
         let result = log.append(&[bytes(&"x".repeat(80))]);
-        assert!(result.is_err_and(|error| error.is_full()), "room {room}");
+        assert!(result.is_err_and(|error| error.is_full()), "free_bytes {free_bytes}");
         assert!(log.append(&[bytes(&"y".repeat(80))]).is_err());
         files.set_capacity(None);
         log.append(&batch(&["two"]))?;
-        files.lose_power(room);
-        assert_eq!(texts(&files, SMALL)?, ["one", "two"], "room {room}");
+        files.lose_power(free_bytes);
+        assert_eq!(texts(&files, SMALL)?, ["one", "two"], "free_bytes {free_bytes}");
     }
     Ok(())
 }
 
-/// Guards against a full disk at the start of a segment that leaves a half made one in the way.
+/// Guards against an incomplete new segment that a full disk leaves behind and that blocks later writes.
 #[test]
-fn a_full_disk_at_a_new_segment() -> Result<(), StorageError> {
-    for room in 0..40 {
+fn log_recovers_from_a_full_disk_at_a_new_segment() -> Result<(), StorageError> {
+    for free_bytes in 0..40 {
         let files = SimulatedFiles::new();
         let (mut log, _) = open(&files, LogOptions { segment_bytes: 1 })?;
         log.append(&batch(&["one"]))?;
-        files.set_capacity(Some(files.bytes() + room));
+        files.set_capacity(Some(files.bytes() + free_bytes));
         assert!(log.append(&batch(&["two"])).is_err());
-        files.lose_power(room);
+        files.lose_power(free_bytes);
         files.set_capacity(None);
         let found = texts(&files, SMALL)?;
         assert_eq!(found.first().map(String::as_str), Some("one"));
@@ -123,9 +123,9 @@
     Ok(())
 }
 
-/// Guards against an empty or oversized payload that is written and cannot be read again.
+/// Guards against writing an empty or oversized payload that cannot be read back.
 #[test]
-fn payloads_that_cannot_be_logged() -> Result<(), StorageError> {
+fn invalid_payloads_are_rejected() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, SMALL)?;
     log.append(&batch(&["one"]))?;
@@ -135,9 +135,9 @@
     Ok(())
 }
 
-/// Guards against real files that behave in another way than the simulated ones.
+/// Guards against real files that behave differently from the simulated ones.
 #[test]
-fn real_files() -> Result<(), Box<dyn std::error::Error>> {
+fn log_works_on_real_files() -> Result<(), Box<dyn std::error::Error>> {
     let path = std::env::temp_dir().join(format!("pewterseam-storage-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let mut folder = DataFolder::open(&path)?;
@@ -149,7 +149,7 @@
     }
     log.remove_before(3)?;
     drop(log);
-    // A torn tail.
+    // Tears the tail of the last segment.
     let last = segment(positions.last().map_or(0, |position| position.segment));
     let content = std::fs::read(path.join(&last))?;
     std::fs::write(path.join(&last), &content[..content.len() - 1])?;
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! Random work with losses of power, kills, full disks and failing syncs.
+//! Random operations with power losses, process kills, full disks and failing syncs.
 
 mod common;
 
@@ -11,30 +11,30 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Appends so many records of so many extra bytes.
+    /// Appends `records` records, each with `extra` additional bytes.
     Append {
         records: u8,
         extra: u8,
     },
-    /// Removes all but so many segments.
+    /// Removes all segments except the last `keep` ones.
     Remove {
         keep: u8,
     },
-    /// Writes a snapshot of all records that count.
+    /// Writes a snapshot of all required records.
     Snapshot,
     LosePower {
         seed: u64,
     },
-    /// The process is killed and starts again.
+    /// Kills the process and starts it again.
     Restart,
     FailSyncs {
         count: u8,
     },
-    /// So many bytes more fit on the disk.
+    /// Limits the free space of the disk to `room` bytes.
     Fill {
         room: u8,
     },
-    /// There is room again.
+    /// Removes the limit on the free space.
     MakeRoom,
 }
 
@@ -54,13 +54,13 @@
     }
 }
 
-/// What must be there, and what may be.
+/// The records that the log must contain, and those that it may contain.
 #[derive(Default)]
 struct Model {
     next_id: u64,
-    /// Acknowledged records, with their segment; none for those in a snapshot.
+    /// Acknowledged records with their segment, or `None` for records in a snapshot.
     required: BTreeMap<u64, Option<u64>>,
-    /// Records whose write failed, or that were removed.
+    /// Records whose write has failed, or that were removed.
     allowed: BTreeSet<u64>,
 }
 
@@ -74,20 +74,20 @@
     payload.iter().take(8).rev().fold(0, |id, byte| id << 8 | u64::from(*byte))
 }
 
-/// Opens the log again and checks what is in it against the model.
+/// Opens the log again and checks its content against the model.
 fn reopen(files: &SimulatedFiles, model: &mut Model) -> Result<Log<SimulatedFiles>, String> {
     let (log, found) = open(files, SMALL).map_err(|error| format!("reopening: {error}"))?;
     let ids: Vec<u64> = found.iter().map(|(_, _, payload)| id_of(payload)).collect();
     let unique: BTreeSet<u64> = ids.iter().copied().collect();
     if let Some(lost) = model.required.keys().find(|id| !unique.contains(id)) {
-        return Err(format!("record {lost} was acknowledged and is gone; found {ids:?}"));
+        return Err(format!("record {lost} was acknowledged but is missing; found {ids:?}"));
     }
-    if let Some(strange) =
+    if let Some(unexpected) =
         unique.iter().find(|id| !model.required.contains_key(id) && !model.allowed.contains(id))
     {
-        return Err(format!("record {strange} was never written"));
+        return Err(format!("record {unexpected} was never written"));
     }
-    // What was found is synced from now on, and may be counted on.
+    // Recovered records are synced when the log was opened, so they are required from now on.
     for (id, (_, position, payload)) in ids.iter().zip(&found) {
         if payload.len() > 8 && payload[8..].iter().any(|byte| *byte != *id as u8) {
             return Err(format!("record {id} has other bytes"));
@@ -118,17 +118,17 @@
     else {
         return;
     };
-    // Another error may come after some of the removals.
+    // Any other error can occur after some of the removals.
     if matches!(log.remove_before(*before), Err(StorageError::HasSnapshot)) {
         return;
     }
-    let gone: Vec<u64> = model
+    let removed: Vec<u64> = model
         .required
         .iter()
         .filter(|(_, segment)| segment.is_some_and(|segment| segment < *before))
         .map(|(id, _)| *id)
         .collect();
-    for id in gone {
+    for id in removed {
         model.required.remove(&id);
         model.allowed.insert(id);
     }
@@ -169,17 +169,17 @@
     reopen(&files, &mut model).map(drop)
 }
 
-/// Guards against a record that was acknowledged and is gone after a loss of power, a log that cannot be opened
-/// after one, and records with bytes that nobody wrote.
+/// Guards against acknowledged records that are lost by a power loss, against a log that cannot be opened after one, and
+/// against records with bytes that were never written.
 #[test]
-fn what_was_acknowledged_survives() {
+fn acknowledged_records_survive_random_faults() {
     QuickCheck::new().tests(3_000).quickcheck(run as fn(Vec<Step>) -> Result<(), String>);
 }
 
-/// Guards against names that were lost in part: a snapshot whose rename or whose removals of older files are kept or
-/// lost one by one must leave a log that opens and holds all.
+/// Guards against partly lost name changes: if a power loss keeps only some of the rename of a snapshot and the removals of
+/// older files, the log must still open with all records.
 #[test]
-fn names_lost_around_a_snapshot() {
+fn log_survives_lost_name_changes_around_a_snapshot() {
     for seed in 0..2_000 {
         let steps = vec![
             Step::Append { records: 3, extra: 100 },
--- a/crates/storage/tests/torn_tail.rs
+++ b/crates/storage/tests/torn_tail.rs
@@ -1,11 +1,11 @@
-//! The end of the last segment, as a loss of power in the middle of a write may leave it.
+//! Recovery of the end of the last segment after a power loss in the middle of a write.
 
 mod common;
 
 use common::{SMALL, batch, open, segment, texts};
 use pewterseam_storage::{LogOptions, SEGMENT_HEADER_BYTES, SimulatedFiles, StorageError};
 
-/// Two synced records, and the bytes of a batch of three after them.
+/// Returns the bytes of a segment with two single records and a batch of three, and the length of the first two.
 fn log_and_tail() -> Result<(Vec<u8>, usize), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, LogOptions::default())?;
@@ -22,10 +22,10 @@
     files
 }
 
-/// Guards against a tail that is torn at some byte and keeps the log from opening, takes synced records with it, or
-/// hides what is written after it.
+/// Guards against a torn tail, at any byte, that prevents opening the log, removes synced records, or hides records that are
+/// written after it.
 #[test]
-fn tail_torn_at_each_byte() -> Result<(), StorageError> {
+fn log_recovers_from_a_tail_torn_at_any_byte() -> Result<(), StorageError> {
     let (content, synced) = log_and_tail()?;
     for length in synced..=content.len() {
         let files = with_content(&content[..length]);
@@ -43,24 +43,24 @@
     Ok(())
 }
 
-/// Guards against damage being told where parts of one unsynced write are missing and later parts of it are there.
+/// Guards against reporting damage when an earlier part of an unsynced write is missing and a later part is present.
 #[test]
-fn holes_in_the_last_batch() -> Result<(), StorageError> {
+fn hole_in_the_last_batch_is_not_damage() -> Result<(), StorageError> {
     let (content, synced) = log_and_tail()?;
     for start in synced..content.len() {
-        let mut holed = content.clone();
-        let end = (start + 7).min(holed.len());
-        holed[start..end].fill(0);
-        let files = with_content(&holed);
+        let mut with_hole = content.clone();
+        let end = (start + 7).min(with_hole.len());
+        with_hole[start..end].fill(0);
+        let files = with_content(&with_hole);
         let texts = texts(&files, LogOptions::default())?;
         assert_eq!(&texts[..2], ["one", "two"], "hole at {start}");
     }
     Ok(())
 }
 
-/// Guards against a new segment whose header was torn, which holds no record and must not stop the log.
+/// Guards against a torn header of a new segment that prevents opening the log; such a segment holds no records.
 #[test]
-fn torn_header_of_a_new_segment() -> Result<(), StorageError> {
+fn segment_with_a_torn_header_is_removed() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, SMALL)?;
     log.append(&batch(&["one"]))?;
@@ -72,19 +72,19 @@
     Ok(())
 }
 
-/// Guards against records that survived a torn batch by chance and are lost at the next loss of power, although
-/// they were shown to the caller.
+/// Guards against recovered records of a torn batch that are lost at the next power loss, although they were already
+/// passed to the caller.
 #[test]
-fn what_was_shown_is_durable() -> Result<(), StorageError> {
+fn recovered_records_are_durable() -> Result<(), StorageError> {
     let files = SimulatedFiles::new();
     let (mut log, _) = open(&files, SMALL)?;
     log.append(&batch(&["one"]))?;
     files.fail_syncs(1);
     assert!(log.append(&batch(&["two"])).is_err());
     drop(log);
-    let shown = texts(&files, SMALL)?;
-    assert_eq!(shown, ["one", "two"], "the process was killed, so its writes stay");
+    let recovered = texts(&files, SMALL)?;
+    assert_eq!(recovered, ["one", "two"], "a killed process keeps its unsynced writes");
     files.lose_power(0);
-    assert_eq!(texts(&files, SMALL)?, shown);
+    assert_eq!(texts(&files, SMALL)?, recovered);
     Ok(())
 }
--- a/crates/storage/tests/writer.rs
+++ b/crates/storage/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a log.
+//! The log writer thread.
 
 mod common;
 
@@ -9,11 +9,11 @@
 use pewterseam_storage::{Files, Log, LogOptions, LogWriter, SimulatedFiles, WriterEvent};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// Files of which each sync of a file says that it has begun and waits for a word to go on.
+/// Files that report the start of each file sync and block it until the test lets it continue.
 struct GatedFiles {
     files: SimulatedFiles,
-    begun: Sender<()>,
-    go_on: Receiver<()>,
+    sync_started: Sender<()>,
+    allow_sync: Receiver<()>,
 }
 
 impl Files for GatedFiles {
@@ -42,9 +42,9 @@
         self.files.remove(name)
     }
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
-        // Nobody listens any more once the test is over.
-        let _ = self.begun.send(());
-        let _ = self.go_on.recv();
+        // The receiver is gone once the test has ended.
+        let _ = self.sync_started.send(());
+        let _ = self.allow_sync.recv();
         self.files.sync_file(name)
     }
     fn sync_folder(&mut self) -> io::Result<()> {
@@ -52,79 +52,79 @@
     }
 }
 
-fn next(events: &mut UnboundedReceiver<WriterEvent>) -> Result<WriterEvent, io::Error> {
+fn next_event(events: &mut UnboundedReceiver<WriterEvent>) -> Result<WriterEvent, io::Error> {
     events.blocking_recv().ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
 
-/// Guards against a sync for each append: all that come while one sync runs must share the next.
+/// Guards against one sync per append: all appends that arrive during a sync must share the next one.
 #[test]
-fn what_waits_is_synced_together() -> Result<(), Box<dyn std::error::Error>> {
+fn waiting_appends_share_one_sync() -> Result<(), Box<dyn std::error::Error>> {
     let files = SimulatedFiles::new();
-    let (begun, has_begun) = channel();
-    let (go_on, may_go_on) = channel();
-    let gated = GatedFiles { files: files.clone(), begun, go_on: may_go_on };
+    let (sync_started, started) = channel();
+    let (allow_sync, sync_allowed) = channel();
+    let gated = GatedFiles { files: files.clone(), sync_started, allow_sync: sync_allowed };
     let log = Log::open(gated, LogOptions::default(), &mut |_| {})?;
     let (send, mut events) = unbounded_channel();
     let writer = LogWriter::start(log, send)?;
     writer.append(1, batch(&["first"]))?;
-    has_begun.recv()?;
+    started.recv()?;
     // The header of the first segment is being synced.
     for ticket in 2..=9 {
         writer.append(ticket, batch(&["a", "b"]))?;
     }
-    go_on.send(())?;
-    has_begun.recv()?;
-    go_on.send(())?;
-    match next(&mut events)? {
+    allow_sync.send(())?;
+    started.recv()?;
+    allow_sync.send(())?;
+    match next_event(&mut events)? {
         WriterEvent::Synced { through: 1, positions } => assert_eq!(positions.len(), 1),
         other => panic!("{other:?}"),
     }
-    has_begun.recv()?;
-    go_on.send(())?;
-    match next(&mut events)? {
+    started.recv()?;
+    allow_sync.send(())?;
+    match next_event(&mut events)? {
         WriterEvent::Synced { through: 9, positions } => assert_eq!(positions.len(), 16),
         other => panic!("{other:?}"),
     }
-    drop(go_on);
+    drop(allow_sync);
     drop(writer);
     assert_eq!(texts(&files, SMALL)?.len(), 17);
     Ok(())
 }
 
-/// Guards against a failed append that is taken for a synced one, and a writer that does not go on after it.
+/// Guards against a failed append that is reported as synced, and against a writer that stops after a failure.
 #[test]
-fn failures_are_told() -> Result<(), Box<dyn std::error::Error>> {
+fn append_failures_are_reported() -> Result<(), Box<dyn std::error::Error>> {
     let files = SimulatedFiles::new();
     let (log, _) = open(&files, LogOptions::default())?;
     let (send, mut events) = unbounded_channel();
     let writer = LogWriter::start(log, send)?;
     writer.append(1, batch(&["one"]))?;
-    assert!(matches!(next(&mut events)?, WriterEvent::Synced { through: 1, .. }));
+    assert!(matches!(next_event(&mut events)?, WriterEvent::Synced { through: 1, .. }));
     files.set_capacity(Some(files.bytes()));
     writer.append(2, batch(&["two"]))?;
-    match next(&mut events)? {
+    match next_event(&mut events)? {
         WriterEvent::Failed { through: 2, error } => assert!(error.is_full()),
         other => panic!("{other:?}"),
     }
     files.set_capacity(None);
     writer.append(3, batch(&["three"]))?;
-    let positions = match next(&mut events)? {
+    let positions = match next_event(&mut events)? {
         WriterEvent::Synced { through: 3, positions } => positions,
         other => panic!("{other:?}"),
     };
     writer.read(7, positions[0])?;
-    match next(&mut events)? {
+    match next_event(&mut events)? {
         WriterEvent::Read { token: 7, result } => assert_eq!(result?, bytes("three")),
         other => panic!("{other:?}"),
     }
     writer.snapshot(2, batch(&["state"]))?;
-    assert!(matches!(next(&mut events)?, WriterEvent::Maintained(Ok(()))));
+    assert!(matches!(next_event(&mut events)?, WriterEvent::Maintained(Ok(()))));
     drop(writer);
     assert_eq!(texts(&files, SMALL)?, ["state"]);
     Ok(())
 }
 
-/// Guards against a writer that cannot be used from the runtime of the processes.
+/// Guards against a writer whose events do not reach a current-thread runtime, which the processes use.
 #[test]
 fn events_reach_a_current_thread_runtime() -> Result<(), Box<dyn std::error::Error>> {
     let files = SimulatedFiles::new();
