--- a/crates/message-log/src/cleaning.rs
+++ b/crates/message-log/src/cleaning.rs
@@ -265,7 +265,7 @@
         let held = message.record.as_deref();
         Some(KeptMessage {
             stored,
-            taken: held.map_or(message.noted_at, |held| held.accepted_at),
+            taken: held.map_or(message.noted_at, |held| held.first_stored_at),
             ended: message.noted_at,
             is_released: held.is_some_and(|held| held.is_released),
             downtime_before: held.map_or(0, |held| held.downtime_before),
--- a/crates/message-log/src/contents.rs
+++ b/crates/message-log/src/contents.rs
@@ -16,7 +16,7 @@
 
 impl Store {
     /// Answers with the next page of messages. The caller has ensured that this store knows the placement of the
-    /// requesting store. From then on, every write quorum is counted in a group that contains the requesting store.
+    /// requesting store. From then on, a write counts only if it was also sent to the requesting store.
     pub(crate) fn pull(&mut self, token: u64, partitions: &[Partition], after: Option<&MessageName>) {
         if partitions.iter().any(|partition| self.view.replica_state(*partition) != ReplicaState::Complete) {
             return self.decline(token, Decline::NotInGroup);
--- a/crates/message-log/src/expiry.rs
+++ b/crates/message-log/src/expiry.rs
@@ -59,10 +59,10 @@
 impl Store {
     /// When a record expires whose age leaves out this much downtime. By then its owner has given the record up, even if
     /// the owner's clock differs.
-    pub(crate) fn expiry_of(&mut self, record: &Record, accepted_at: Moment, downtime: Moment) -> Moment {
+    pub(crate) fn expiry_of(&mut self, record: &Record, first_stored_at: Moment, downtime: Moment) -> Moment {
         let retention = span_from_ms(record.retention_ms);
         self.longest_retention = self.longest_retention.max(retention);
-        accepted_at - downtime + retention + (RETENTION_MARGIN + self.settings.clock_error) as Moment
+        first_stored_at - downtime + retention + (RETENTION_MARGIN + self.settings.clock_error) as Moment
     }
 
     /// Makes all records expire earlier by the downtime that their ages leave out.
@@ -82,7 +82,7 @@
 
     /// A lower bound of the time since the first store accepted a record.
     pub(crate) fn age_ms(&self, held: &HeldRecord) -> u64 {
-        (self.moment() - held.accepted_at).max(0) as u64 / MILLISECOND
+        (self.moment() - held.first_stored_at).max(0) as u64 / MILLISECOND
     }
 
     /// The current limits on how long ends are remembered.
--- a/crates/message-log/src/message.rs
+++ b/crates/message-log/src/message.rs
@@ -53,7 +53,7 @@
     pub claim: u32,
     pub is_released: bool,
     /// When the first store accepted the record.
-    pub accepted_at: Moment,
+    pub first_stored_at: Moment,
     /// The log clock's uncounted downtime at that time.
     pub downtime_before: Moment,
     /// Whether the message is queued to be offered to another relay.
--- a/crates/message-log/src/offers.rs
+++ b/crates/message-log/src/offers.rs
@@ -153,7 +153,7 @@
     }
 
     /// Returns the relay that a message is to be offered to, if there is one, and the size of the message's record.
-    /// Returns `None` if the message has a live owner; the message is then no longer queued.
+    /// Returns `None` if the message is not to be offered; the message is then no longer queued.
     fn takeover_relay_of(&mut self, name: &MessageName) -> Option<(Option<NodeName>, u64)> {
         let is_orphan = self.is_orphan(name);
         let record = self.messages.record_mut(name)?;
--- a/crates/message-log/src/recovery.rs
+++ b/crates/message-log/src/recovery.rs
@@ -132,15 +132,15 @@
     if let Some(end) = &stored.end {
         apply_end(store, &name, end, kept.ended);
     }
-    let accepted_at = kept.taken;
-    store.messages.note_failures(&name, stored.failures, accepted_at);
+    let first_stored_at = kept.taken;
+    store.messages.note_failures(&name, stored.failures, first_stored_at);
     let is_needed = store.messages.get(&name).is_none_or(|message| {
         message.record.is_none() && !matches!(message.end, Some(End::Completed { .. }))
     });
     match (stored.record, is_needed) {
         (Some(record), true) => {
             // Downtimes are subtracted at the end of the recovery, once all of them are known.
-            let expires_at = store.expiry_of(&record, accepted_at, 0);
+            let expires_at = store.expiry_of(&record, first_stored_at, 0);
             let held = HeldRecord {
                 payload: None,
                 position: Some(position),
@@ -151,7 +151,7 @@
                 owner: stored.owner.unwrap_or(record.owner),
                 claim: stored.claim,
                 is_released: kept.is_released,
-                accepted_at,
+                first_stored_at,
                 downtime_before: kept.downtime_before,
                 is_queued: false,
             };
--- a/crates/message-log/src/requests.rs
+++ b/crates/message-log/src/requests.rs
@@ -189,9 +189,9 @@
         }
         let noted_at = self.messages.get(&name).map_or(self.moment(), |message| message.noted_at);
         let record = stored.record.as_ref()?;
-        let accepted_at = self.moment() - span_from_ms(stored.age_ms);
+        let first_stored_at = self.moment() - span_from_ms(stored.age_ms);
         let downtime = span_from_ms(stored.away_ms);
-        let expires_at = self.expiry_of(record, accepted_at, downtime);
+        let expires_at = self.expiry_of(record, first_stored_at, downtime);
         let downtime_before = self.clock.uncounted_downtime() - downtime;
         let mut held = HeldRecord {
             payload: None,
@@ -203,12 +203,17 @@
             owner: stored.owner.clone().unwrap_or_else(|| record.owner.clone()),
             claim: stored.claim,
             is_released: false,
-            accepted_at,
+            first_stored_at,
             downtime_before,
             is_queued: false,
         };
-        let kept =
-            KeptMessage { stored, taken: accepted_at, ended: noted_at, is_released: false, downtime_before };
+        let kept = KeptMessage {
+            stored,
+            taken: first_stored_at,
+            ended: noted_at,
+            is_released: false,
+            downtime_before,
+        };
         let entry = LogEntry::Message(Box::new(kept)).encode().ok()?;
         if entry.len() > pewterseam_storage::MAX_PAYLOAD_BYTES {
             return None;
--- a/crates/message-log/tests/copying.rs
+++ b/crates/message-log/tests/copying.rs
@@ -126,18 +126,18 @@
 #[test]
 fn copying_needs_answers_from_all_but_f_stores() {
     let first = keyed("first", "key", &[]);
-    for gone in OLD {
+    for failed in OLD {
         let mut nodes = stores(&["s1", "s2", "s3", "s4"], 1, &[OLD]);
-        for holder in OLD.iter().filter(|name| *name != gone).take(1) {
+        for holder in OLD.iter().filter(|name| *name != failed).take(1) {
             node(&mut nodes, holder).ask(append(1, &first));
         }
         for node in &mut nodes {
             node.input(Input::Placement(placement(2, &[OLD, NEW])));
         }
-        let other = OLD.iter().find(|name| *name != gone).copied().unwrap_or_default();
+        let other = OLD.iter().find(|name| *name != failed).copied().unwrap_or_default();
         let (mut reachable, mut unreachable) = (Vec::new(), Vec::new());
         for node in nodes {
-            if node.id() == store_id(gone) || node.id() == store_id(other) {
+            if node.id() == store_id(failed) || node.id() == store_id(other) {
                 unreachable.push(node);
             } else {
                 reachable.push(node);
@@ -155,8 +155,8 @@
             deliver(&mut reachable);
         }
         let new = node(&mut reachable, "s4");
-        assert_eq!(new.copied, [PlacementEpoch(2)], "without {gone}");
-        assert_eq!(new.open_names(2, "key"), std::slice::from_ref(&first.name), "without {gone}");
+        assert_eq!(new.copied, [PlacementEpoch(2)], "without {failed}");
+        assert_eq!(new.open_names(2, "key"), std::slice::from_ref(&first.name), "without {failed}");
     }
 }
 
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -53,11 +53,11 @@
         Ok(_) => String::new(),
     };
     assert!(error.contains("salvage") && error.contains(&segment(1)), "{error}");
-    let mut whole = Vec::new();
+    let mut intact = Vec::new();
     let report = salvage(&mut files.clone(), &mut |_, payload| {
-        whole.push(String::from_utf8_lossy(payload).into_owned());
+        intact.push(String::from_utf8_lossy(payload).into_owned());
     })?;
-    assert_eq!(whole, ["two", "three", "four", "five"]);
+    assert_eq!(intact, ["two", "three", "four", "five"]);
     assert_eq!(report.whole, 4);
     assert_eq!(report.damaged.len(), 1);
     Ok(())
