--- a/crates/permits/benches/choose_homes.rs
+++ b/crates/permits/benches/choose_homes.rs
@@ -1,6 +1,6 @@
-//! What a change of the list of relays costs the permits of one relay: `cargo bench -p pewterseam-permits`.
+//! Measures the cost of a relay list change for the permits of one relay: `cargo bench -p pewterseam-permits`.
 //!
-//! Prints, for each number of relays, the mean time of a relay that comes or goes, in microseconds.
+//! Prints, for each number of relays, the mean time to add or remove a relay, in microseconds.
 
 use std::sync::Arc;
 use std::time::Instant;
--- a/crates/permits/src/event.rs
+++ b/crates/permits/src/event.rs
@@ -1,19 +1,19 @@
-//! What a home tells of itself, for the log.
+//! Events of a home for the log.
 
 use std::fmt;
 
 use pewterseam_wire::Micros;
 
-const MICROS_A_MILLISECOND: Micros = 1_000;
+const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// What a home's first budget rests on.
+/// Source of a home's initial budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetBasis {
-    /// No home was before it.
+    /// There was no earlier home.
     NoPredecessor,
-    /// The ledger of the home before it.
+    /// The previous home sent its ledger.
     Ledger,
-    /// All that an earlier home may have granted, as nobody has told.
+    /// The maximum that an earlier home may have granted, as no ledger was received.
     Assumption,
 }
 
@@ -27,32 +27,32 @@
     }
 }
 
-/// How many permits of a service a home has in view.
+/// Permit counts of one service at its home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PermitCounts {
-    /// May count in the window that ends now.
+    /// Permits that may count in the window that ends now.
     pub booked: u32,
-    /// The most that may.
+    /// Maximum for `booked`.
     pub capacity: u32,
-    /// Granted within the time for which a permit is good, and not known to be unused.
-    pub out: u32,
+    /// Permits granted within the validity period and not returned unused.
+    pub outstanding: u32,
 }
 
 impl fmt::Display for PermitCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let PermitCounts { booked, capacity, out } = self;
-        write!(f, "{booked} of {capacity} permits booked, {out} granted within their validity")
+        let PermitCounts { booked, capacity, outstanding } = self;
+        write!(f, "{booked} of {capacity} permits booked, {outstanding} granted within their validity")
     }
 }
 
-/// What became of a place as home.
+/// A change in the home role of this relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HomeEvent {
-    /// This relay is the home, and grants nothing for a while.
+    /// This relay became the home and must wait before it grants permits.
     Waits { span: Micros },
-    /// It grants from now on.
+    /// This relay starts granting permits.
     Opens { basis: BudgetBasis, counts: PermitCounts },
-    /// It grants nothing any more.
+    /// This relay stops granting permits.
     Ends { counts: PermitCounts },
 }
 
@@ -60,7 +60,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             HomeEvent::Waits { span } => {
-                write!(f, "this relay is the home, and waits for {} ms at most", span / MICROS_A_MILLISECOND)
+                write!(
+                    f,
+                    "this relay is the home, and waits for {} ms at most",
+                    span / MICROS_PER_MILLISECOND
+                )
             }
             HomeEvent::Opens { basis, counts } => write!(f, "this relay grants permits; {basis}; {counts}"),
             HomeEvent::Ends { counts } => write!(f, "this relay grants no permits any more; {counts}"),
--- a/crates/permits/src/home.rs
+++ b/crates/permits/src/home.rs
@@ -1,4 +1,4 @@
-//! The home of one service: it grants permits while it may.
+//! The home of one service, which grants permits within the budget.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,66 +8,68 @@
 
 use crate::budget::Budget;
 use crate::event::{BudgetBasis, HomeEvent};
+use crate::history::{
+    ClaimReceivers, HomeHistory, have_all_reported, other_homes_until, reporting_relays_until,
+    reports_complete_since, unreported_homes_until,
+};
 use crate::message::{ClaimId, GrantId, PermitMessage, Settled};
 use crate::shares::Shares;
-use crate::witness::{
-    Asked, Witness, all_know_since, have_all_told, others_until, silent_until, tellers_until,
-};
 use crate::{MARGIN, VALIDITY};
 
-/// The longest time for which a request that could not be met at once is kept.
-const PATIENCE: Micros = VALIDITY / 2;
+/// Maximum time for which a request that could not be granted at once is kept.
+const MAX_REQUEST_AGE: Micros = VALIDITY / 2;
 
-/// When a home begins.
+/// Start conditions of a home.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Opening {
+pub(crate) struct HomeStart {
     pub(crate) now: Micros,
     pub(crate) opens_at: Micros,
-    /// Another may have granted up to then.
-    pub(crate) follows: bool,
+    /// Whether another home may have granted permits usable until `opens_at`.
+    pub(crate) has_predecessor: bool,
 }
 
-/// How far the log tells of a home.
+/// The latest event of a home that was logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Logged {
     Nothing,
     Waits,
     Opens,
 }
 
-/// A service's permits at their home.
+/// The state of one service at its home.
 #[derive(Debug)]
 pub(crate) struct Home {
     service: Arc<str>,
-    /// Names this time as home.
+    /// Identifies this term as home.
     pub(crate) claim: ClaimId,
     budget: Budget,
     shares: Shares,
     rate: f64,
-    /// No earlier process or time of this node grants any more since then.
+    /// No earlier process or term of this node has granted permits since this time.
     began_at: Micros,
-    /// Nothing is granted before.
+    /// No permit is granted before this time.
     opens_at: Micros,
-    /// There may have been a home before it.
-    follows: bool,
-    /// The home before it has told of its permits, and grants none any more.
-    has_taken_over: bool,
-    /// What was told of it last.
-    told: Told,
-    /// What relays that follow this one have seen.
-    vouched: BTreeMap<NodeName, Witness>,
+    /// There may have been an earlier home.
+    has_predecessor: bool,
+    /// The previous home has stopped granting and sent its ledger.
+    has_ledger: bool,
+    /// The latest event that was logged.
+    logged: Logged,
+    /// Home histories reported by the relays that follow this home.
+    reports: BTreeMap<NodeName, HomeHistory>,
 }
 
 impl Home {
-    /// A home that begins to grant at `opens_at`; what an earlier one granted up to then is allowed for if `follows`.
+    /// Creates a home that starts granting at `opens_at`. With `has_predecessor`, the permits that an earlier home may have
+    /// granted are booked.
     pub(crate) fn new(
-        service: Arc<str>, claim: ClaimId, rate: f64, bounds: (Micros, f64), span: Opening,
+        service: Arc<str>, claim: ClaimId, rate: f64, limits: (Micros, f64), start: HomeStart,
     ) -> Self {
-        let (window, overshoot) = bounds;
-        let Opening { now, opens_at, follows } = span;
+        let (window, overshoot) = limits;
+        let HomeStart { now, opens_at, has_predecessor } = start;
         let mut budget = Budget::new(rate, window, overshoot, now);
-        if follows {
-            budget.assume_predecessor(opens_at);
+        if has_predecessor {
+            budget.book_assumed_grants(opens_at);
         }
         Home {
             service,
@@ -77,76 +79,81 @@
             rate,
             began_at: now,
             opens_at,
-            follows,
-            has_taken_over: false,
-            told: Told::Nothing,
-            vouched: BTreeMap::new(),
+            has_predecessor,
+            has_ledger: false,
+            logged: Logged::Nothing,
+            reports: BTreeMap::new(),
         }
     }
 
-    /// The home before this one has stopped, and told of its permits. Only before this one has begun: its own grants
-    /// are not in that word.
-    pub(crate) fn take_over(&mut self, ledger: &[(u32, u32)], now: Micros) {
+    /// Accepts the ledger of the previous home and opens at once. An open home ignores the ledger, which does not contain
+    /// the grants of this home.
+    pub(crate) fn accept_ledger(&mut self, ledger: &[(u32, u32)], now: Micros) {
         if !self.is_open(now) {
-            self.budget.take_over(ledger, now);
+            self.budget.load_ledger(ledger, now);
             self.opens_at = now;
-            self.has_taken_over = true;
+            self.has_ledger = true;
         }
     }
 
-    /// Whether this home knows of all permits that may be out: the home before it has told of its own.
-    pub(crate) fn has_last_word(&self, now: Micros) -> bool {
-        self.has_taken_over && self.is_open(now)
+    /// Whether this home knows all permits that may be outstanding, because the previous home sent its ledger.
+    pub(crate) fn has_complete_ledger(&self, now: Micros) -> bool {
+        self.has_ledger && self.is_open(now)
     }
 
-    /// A relay that follows this home tells what it has seen of earlier ones.
-    pub(crate) fn vouch(&mut self, witness: NodeName, seen: Witness) {
-        self.vouched.insert(witness, seen);
+    /// Stores the home history that a following relay reported.
+    pub(crate) fn add_report(&mut self, relay: NodeName, history: HomeHistory) {
+        self.reports.insert(relay, history);
     }
 
-    /// Whether a relay has told what it has seen.
-    pub(crate) fn has_vouched(&self, relay: &NodeName) -> bool {
-        self.vouched.contains_key(relay)
+    /// Whether a relay has reported its home history.
+    pub(crate) fn has_reported(&self, relay: &NodeName) -> bool {
+        self.reports.contains_key(relay)
     }
 
-    /// Sets the time from when on permits are granted by what is known of other homes.
-    pub(crate) fn reconsider(
-        &mut self, me: &NodeName, mine: &Witness, asked: &Asked<'_>, core_lease: Micros, now: Micros,
+    /// Recalculates `opens_at` from what is known of other homes.
+    pub(crate) fn update_opening_time(
+        &mut self, me: &NodeName, mine: &HomeHistory, receivers: &ClaimReceivers<'_>, core_lease: Micros,
+        now: Micros,
     ) {
-        if !self.follows || self.is_open(now) {
+        if !self.has_predecessor || self.is_open(now) {
             return;
         }
-        let opens_at = self.granted_until(me, mine, asked, core_lease) + VALIDITY + MARGIN;
+        let opens_at = self.granted_until(me, mine, receivers, core_lease) + VALIDITY + MARGIN;
         if opens_at != self.opens_at {
-            self.budget.take_over(&[], now);
-            self.budget.assume_predecessor(opens_at);
+            self.budget.load_ledger(&[], now);
+            self.budget.book_assumed_grants(opens_at);
             self.opens_at = opens_at;
         }
     }
 
     /// Until when another home may have granted permits.
     ///
-    /// Earlier processes and times of this node had ended when it began. Danger: a node that was taken off a list may
-    /// have held the core's word for a while, also where it was the home only after this one had begun to wait.
-    fn granted_until(&self, me: &NodeName, mine: &Witness, asked: &Asked<'_>, core_lease: Micros) -> Micros {
-        let words = &self.vouched;
-        if asked.agreed.is_some_and(|agreed| have_all_told(me, agreed, words)) {
-            // Nobody else may be a home. One that was followed and has not told is not known to be on the list.
-            let silent = silent_until(me, words, mine).map_or(0, |until| until + core_lease);
-            return self.began_at.max(tellers_until(words)).max(silent);
+    /// Earlier processes and terms of this node had ended when this term began. A node that was removed from the list may
+    /// hold its core lease for a while longer, even if it became the home after this one had begun to wait; without the
+    /// added `core_lease`, both could grant at the same time.
+    fn granted_until(
+        &self, me: &NodeName, mine: &HomeHistory, receivers: &ClaimReceivers<'_>, core_lease: Micros,
+    ) -> Micros {
+        let reports = &self.reports;
+        if receivers.agreed.is_some_and(|agreed| have_all_reported(me, agreed, reports)) {
+            // No other relay may be a home. A followed home that has not reported may be missing in the agreed list.
+            let unreported = unreported_homes_until(me, reports, mine).map_or(0, |until| until + core_lease);
+            return self.began_at.max(reporting_relays_until(reports)).max(unreported);
         }
-        let seen = others_until(me, words, mine).unwrap_or(0);
-        let unknown = all_know_since(asked.witnesses, words).unwrap_or(Micros::MAX).min(self.began_at);
-        self.began_at.max(seen.max(unknown) + core_lease)
+        let others_until = other_homes_until(me, reports, mine).unwrap_or(0);
+        let unknown_until =
+            reports_complete_since(receivers.next_by_rank, reports).unwrap_or(Micros::MAX).min(self.began_at);
+        self.began_at.max(others_until.max(unknown_until) + core_lease)
     }
 
-    /// What the next home has to know.
+    /// The ledger for the next home.
     pub(crate) fn ledger(&mut self, now: Micros) -> Vec<(u32, u32)> {
         self.budget.advance(now);
         self.budget.ledger(now)
     }
 
-    /// Whether all that earlier homes granted is past.
+    /// Whether this home may grant, because all permits of earlier homes have expired or are booked.
     pub(crate) fn is_open(&self, now: Micros) -> bool {
         now >= self.opens_at
     }
@@ -157,16 +164,18 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, from: &NodeName, life: u64, sent_at: Micros, wanted: u32, now: Micros) {
-        self.shares.ask(from, life, sent_at, wanted, now);
+    pub(crate) fn add_request(
+        &mut self, from: &NodeName, life: u64, sent_at: Micros, wanted: u32, now: Micros,
+    ) {
+        self.shares.add_request(from, life, sent_at, wanted, now);
     }
 
-    /// Grants what may be granted now; gives each grant with its receiver.
+    /// Grants the permits available now, and returns each grant with its receiver.
     pub(crate) fn grant(
         &mut self, home_life: u64, last_grant: &mut u64, now: Micros,
     ) -> Vec<(NodeName, PermitMessage)> {
         self.budget.advance(now);
-        self.shares.expire(PATIENCE, now);
+        self.shares.expire(MAX_REQUEST_AGE, now);
         self.shares.end_round(self.rate, now);
         let mut grants: Vec<(NodeName, PermitMessage)> = Vec::new();
         if !self.is_open(now) {
@@ -179,9 +188,9 @@
         {
             available -= 1;
             counts.entry(name.clone()).or_insert((asker.life, asker.sent_at, 0)).2 += 1;
-            Shares::give(asker, 1);
+            Shares::record_grant(asker, 1);
         }
-        self.shares.leave_waiting();
+        self.shares.mark_unmet_requests();
         for (name, (life, sent_at, count)) in counts {
             *last_grant = last_grant.wrapping_add(1);
             self.budget.grant(*last_grant, count, now);
@@ -192,15 +201,15 @@
         grants
     }
 
-    /// What the log is to tell now.
+    /// The next event for the log.
     pub(crate) fn event(&mut self, now: Micros) -> Option<HomeEvent> {
-        match self.told {
-            Told::Nothing if !self.is_open(now) => {
-                self.told = Told::Waits;
+        match self.logged {
+            Logged::Nothing if !self.is_open(now) => {
+                self.logged = Logged::Waits;
                 Some(HomeEvent::Waits { span: self.opens_at.saturating_sub(now) })
             }
-            Told::Nothing | Told::Waits if self.is_open(now) => {
-                self.told = Told::Opens;
+            Logged::Nothing | Logged::Waits if self.is_open(now) => {
+                self.logged = Logged::Opens;
                 self.budget.advance(now);
                 Some(HomeEvent::Opens { basis: self.basis(), counts: self.budget.counts(now) })
             }
@@ -208,25 +217,25 @@
         }
     }
 
-    /// What the log is to tell when this home ends; nothing of one that has not begun.
+    /// The event for the log when this home ends; none if it never opened.
     pub(crate) fn end(&mut self, now: Micros) -> Option<HomeEvent> {
         self.budget.advance(now);
-        (self.told == Told::Opens).then(|| HomeEvent::Ends { counts: self.budget.counts(now) })
+        (self.logged == Logged::Opens).then(|| HomeEvent::Ends { counts: self.budget.counts(now) })
     }
 
     fn basis(&self) -> BudgetBasis {
-        if self.has_taken_over {
+        if self.has_ledger {
             BudgetBasis::Ledger
-        } else if self.follows {
+        } else if self.has_predecessor {
             BudgetBasis::Assumption
         } else {
             BudgetBasis::NoPredecessor
         }
     }
 
-    /// When there is something to do again.
+    /// When permits can next be granted.
     pub(crate) fn next_at(&self, now: Micros) -> Option<Micros> {
-        let waits = self.shares.wants();
-        waits.then(|| self.budget.next_at(now).max(self.opens_at))
+        let has_requests = self.shares.has_requests();
+        has_requests.then(|| self.budget.next_at(now).max(self.opens_at))
     }
 }
--- a/crates/permits/src/lib.rs
+++ b/crates/permits/src/lib.rs
@@ -1,28 +1,30 @@
-//! Permits for services with a limited rate, so that all relays together never pass it.
+//! Permits for services with a rate limit, so that all relays together never exceed it.
 //!
-//! For each limited service one relay, its home, hands out permits. A permit lets its holder send one request and is
-//! good for a short time, counted from when the holder asked, by the holder's steady clock. The home takes a permit as
-//! possibly used from when it was granted until it expires, or until the holder tells that it was used or given back,
-//! and keeps the number of those that may fall into one window below the limit. It needs no word of a relay that is
-//! cut off, frozen or dead: what that relay holds expires by itself.
+//! For each limited service one relay, the home of the service, grants permits. A permit allows its holder to send one
+//! request. It is valid for a short time from the holder's request for permits, measured by the holder's monotonic
+//! clock. The home counts a permit as possibly used from its grant until it expires or the holder reports it as used or
+//! returned, and keeps the number of permits that may fall into one window below the limit. Permits held by a
+//! partitioned, stalled or dead relay expire without any message from it.
 //!
-//! Who gets how many where more are wanted than there are follows the shares of [`pewterseam::brain::reallocate`].
+//! If more permits are requested than available, they are divided by the shares of
+//! [`pewterseam::brain::reallocate`].
 //!
-//! A home acts only on a fresh word of the core, and a new home grants nothing until whatever an earlier one granted has
-//! expired:
+//! A home grants only while it holds a lease from the core. A new home grants nothing until the permits of earlier
+//! homes have expired or are known:
 //!
-//! - A home that gives its place up, or whose process ends in order, tells the next one of its permits.
-//! - Otherwise the next one waits for `core_lease` from when another node may have been the home, as that node may be cut
-//!   off and still hold the core's word, and then for the permits. Earlier processes of its own node have ended when it
-//!   starts, so that it waits for their permits alone. Who was the home it hears from the relays that come next by rank,
-//!   and from all of them that are on its list.
+//! - A home that gives up its role, or whose process shuts down cleanly, sends a ledger of its permits to the next home.
+//! - Otherwise the new home waits for `core_lease` from the time until which another node may have been the home, as
+//!   that node may be partitioned and still hold its lease, and then until the permits expire. Earlier processes of its
+//!   own node have ended before it starts, so it waits only for their permits. It learns of earlier homes from the
+//!   relays that are next by rank, and then from all relays on its list.
 //!
-//! Not covered: two relays that each take themselves for the home while both have the core's word and neither hears of
-//! the other. The caller can exclude it by naming only the control leader as home.
+//! Not covered: two relays that each act as the home while both hold a core lease and neither hears of the other. The
+//! caller can exclude this case by allowing only the control leader as home.
 
 mod budget;
 mod claims;
 mod event;
+mod history;
 mod holder;
 mod home;
 mod message;
@@ -32,7 +34,6 @@
 mod recent;
 mod service;
 mod shares;
-mod witness;
 
 pub use event::{BudgetBasis, HomeEvent, PermitCounts};
 pub use holder::Permit;
@@ -41,7 +42,7 @@
 
 use pewterseam_wire::Micros;
 
-/// How long a permit is good, from when its holder asked.
+/// Validity of a permit, from the time at which its holder requested it.
 pub const VALIDITY: Micros = 1_000_000;
-/// What a home allows for clocks that run at different paces, and for the way of a request to the host.
+/// Safety margin for clock drift between relays and for the network delay of a request to the host.
 pub const MARGIN: Micros = 250_000;
--- a/crates/permits/src/permits.rs
+++ b/crates/permits/src/permits.rs
@@ -1,4 +1,4 @@
-//! The permits of one relay: those that it holds, and those that it hands out where it is the home.
+//! The permits of one relay: those that it holds, and those that it grants as a home.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -9,33 +9,33 @@
 
 use crate::event::HomeEvent;
 use crate::holder::Permit;
-use crate::home::{Home, Opening};
+use crate::home::{Home, HomeStart};
 use crate::message::{ClaimId, PermitMessage};
 use crate::ranking::RelayChanges;
 use crate::service::Service;
 use crate::{MARGIN, VALIDITY};
 
-/// At the first start of everything, how long the list of relays must have stood.
-const SETTLING: Micros = 1_000_000;
+/// At the first start of the system, the time for which a new home waits, so that the relay list is stable.
+const RELAY_LIST_SETTLING_TIME: Micros = 1_000_000;
 
-/// What the permits of a relay need to know.
+/// Settings for the permits of a relay.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub me: NodeName,
-    /// The life of this process; a later one is higher.
+    /// The generation of this process. Later processes have a higher one.
     pub life: u64,
     /// `originWindowS` and `originOvershoot`.
     pub window: Micros,
     pub overshoot: f64,
-    /// No process of the system ran before.
+    /// Whether no process of the system ran before.
     pub bootstrap: bool,
-    /// The longest time for which a relay that was cut off may hold the core's word.
+    /// The longest time for which a partitioned relay may still hold its lease from the core.
     pub core_lease: Micros,
-    /// The core agrees on the relays that may be homes; see [`Permits::set_agreed_homes`].
+    /// Whether the core agrees on the relays that may be homes; see [`Permits::set_agreed_homes`].
     pub homes_are_agreed: bool,
 }
 
-/// What to do.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitEffect {
     Send { to: NodeName, message: PermitMessage },
@@ -45,18 +45,18 @@
 pub struct Permits {
     pub(crate) settings: Settings,
     pub(crate) services: BTreeMap<Arc<str>, Service>,
-    /// Candidates for homes, sorted: the live relays, those that are agreed on where the core does that.
+    /// Candidates for homes, sorted: the live relays, limited to the agreed ones if the core agrees on homes.
     pub(crate) relays: Vec<NodeName>,
     live: Vec<NodeName>,
-    /// The relays that may be homes, as far as the core has told; none where it agrees on none.
+    /// The relays that may be homes by the latest state from the core; `None` if the core does not agree on homes.
     pub(crate) agreed: Option<Vec<NodeName>>,
-    core_until: Micros,
+    core_lease_until: Micros,
     last_grant: u64,
     last_claim: u64,
-    /// No home was named before, in a system without predecessors.
+    /// No home was chosen yet since the first start of the system, so there can be no predecessor.
     is_first: bool,
-    /// This process ends, and is the home of nothing any more.
-    pub(crate) is_leaving: bool,
+    /// This process is shutting down and is no longer the home of any service.
+    pub(crate) is_stopping: bool,
     pub(crate) effects: Vec<PermitEffect>,
 }
 
@@ -65,7 +65,7 @@
         let is_first = settings.bootstrap;
         let agreed = settings.homes_are_agreed.then(Vec::new);
         let (services, relays, effects) = (BTreeMap::new(), Vec::new(), Vec::new());
-        // Two homes may have one life, where they started at the same time.
+        // Two homes that started at the same time may have the same `life`.
         let last_grant = hash(settings.me.0.as_bytes(), 0);
         Permits {
             settings,
@@ -73,16 +73,16 @@
             relays,
             live: Vec::new(),
             agreed,
-            core_until: 0,
+            core_lease_until: 0,
             last_grant,
             last_claim: 0,
             is_first,
-            is_leaving: false,
+            is_stopping: false,
             effects,
         }
     }
 
-    /// The limited services with their rates, in place of those before.
+    /// Replaces the limited services and their rates.
     pub fn set_services(&mut self, now: Micros, services: impl IntoIterator<Item = (Arc<str>, f64)>) {
         let mut before = std::mem::take(&mut self.services);
         for (name, rate) in services.into_iter().filter(|(_, rate)| *rate > 0.0) {
@@ -93,24 +93,24 @@
         self.choose_homes(now);
     }
 
-    /// The relays that live.
+    /// Replaces the list of live relays.
     pub fn set_relays(&mut self, now: Micros, relays: &[NodeName]) {
         self.live = relays.to_vec();
         self.live.sort();
         self.live.dedup();
-        self.choose_candidates(now);
+        self.update_candidates(now);
     }
 
-    /// The relays that may be homes, by the newest agreed state that this relay knows. Whoever is not on the list grants
-    /// nothing; one leaves it only when all that it may have granted is past.
+    /// Sets the relays that may be homes, by the newest agreed state that this relay knows. A relay that is not on the
+    /// list grants nothing. A relay is removed from the list only after all its grants have expired.
     pub fn set_agreed_homes(&mut self, now: Micros, homes: &[NodeName]) {
         if self.agreed.as_deref().is_some_and(|agreed| agreed != homes) {
             self.agreed = Some(homes.to_vec());
-            self.choose_candidates(now);
+            self.update_candidates(now);
         }
     }
 
-    fn choose_candidates(&mut self, now: Micros) {
+    fn update_candidates(&mut self, now: Micros) {
         let agreed: Option<HashSet<&NodeName>> = self.agreed.as_ref().map(|agreed| agreed.iter().collect());
         let is_agreed = |relay: &&NodeName| agreed.as_ref().is_none_or(|agreed| agreed.contains(relay));
         let relays: Vec<NodeName> = self.live.iter().filter(is_agreed).cloned().collect();
@@ -122,63 +122,64 @@
         self.choose_homes(now);
     }
 
-    /// The core's word to this relay holds until then. Danger: without the word for a while, a home does not know
-    /// whether another one has begun meanwhile; it begins anew.
+    /// Extends the lease from the core to `until`. After a lapsed lease, a home cannot know whether another home granted
+    /// meanwhile, so it starts a new term.
     pub fn set_core_lease(&mut self, now: Micros, until: Micros) {
-        let has_lapsed = self.core_until > 0 && self.core_until <= now;
-        self.core_until = self.core_until.max(until);
+        let has_lapsed = self.core_lease_until > 0 && self.core_lease_until <= now;
+        self.core_lease_until = self.core_lease_until.max(until);
         if has_lapsed {
             self.services.values_mut().for_each(|service| service.forget_home(now));
             self.choose_homes(now);
         }
     }
 
-    /// How many messages wait for permits of a service.
+    /// Sets the number of messages that wait for permits of a service.
     pub fn set_demand(&mut self, service: &str, demand: usize) {
         if let Some(service) = self.services.get_mut(service) {
             service.holder.set_demand(demand);
         }
     }
 
-    /// Whether a service's requests need permits.
+    /// Whether requests to a service need permits.
     pub fn is_limited(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
-    /// Permits in hand.
+    /// Number of valid permits that this relay holds.
     pub fn available(&self, now: Micros, service: &str) -> usize {
         self.services.get(service).map_or(0, |service| service.holder.available(now))
     }
 
-    /// Uses a permit, if one is in hand.
+    /// Takes a permit, if this relay holds one.
     pub fn take(&mut self, now: Micros, service: &str) -> Option<Permit> {
         self.services.get_mut(service)?.holder.take(now)
     }
 
-    /// Books that the request of a permit is sent now; its permit was good until now.
+    /// Books that the request of a permit is sent now, while the permit is valid.
     pub fn sent(&mut self, now: Micros, service: &str, permit: Permit) {
         if let Some(service) = self.services.get_mut(service) {
             service.holder.sent(permit, now);
         }
     }
 
-    /// Gives back a permit for which nothing was sent.
+    /// Returns a permit for which no request was sent.
     pub fn put_back(&mut self, service: &str, permit: Permit) {
         if let Some(service) = self.services.get_mut(service) {
             service.holder.put_back(permit);
         }
     }
 
-    /// Takes what another relay told.
+    /// Handles a message from another relay.
     pub fn receive(&mut self, now: Micros, from: &NodeName, message: PermitMessage) {
         let me = &self.settings;
         match message {
             PermitMessage::Request { service, life, sent_at, wanted, settled } => {
-                let Some(home) = self.services.get_mut(&service).and_then(|s| s.granting.as_mut()) else {
+                let Some(home) = self.services.get_mut(&service).and_then(|state| state.own_home.as_mut())
+                else {
                     return;
                 };
                 home.settle(me.life, &settled, now);
-                home.ask(from, life, sent_at, wanted, now);
+                home.add_request(from, life, sent_at, wanted, now);
             }
             PermitMessage::Grant { service, life, sent_at, grant, count } => {
                 let Some(service) = self.services.get_mut(&service).filter(|_| life == me.life) else {
@@ -186,13 +187,17 @@
                 };
                 service.holder.receive(sent_at, grant, count, now);
             }
-            PermitMessage::Claim { service, claim } => self.claimed(now, from, &service, claim),
-            PermitMessage::Yield { service, claim, ledger } => self.yielded(now, &service, claim, &ledger),
-            PermitMessage::Vouch { service, claim, seen } => self.vouched(now, from, &service, claim, &seen),
+            PermitMessage::Claim { service, claim } => self.handle_claim(now, from, &service, claim),
+            PermitMessage::Yield { service, claim, ledger } => {
+                self.handle_yield(now, &service, claim, &ledger)
+            }
+            PermitMessage::Vouch { service, claim, seen } => {
+                self.handle_vouch(now, from, &service, claim, &seen)
+            }
             PermitMessage::HandOver { service, claim, ledger } => {
-                self.handed_over(now, from, &service, claim, ledger);
+                self.handle_handover(now, from, &service, claim, ledger);
             }
-            PermitMessage::Deny { service, claim } => self.denied(now, &service, claim),
+            PermitMessage::Deny { service, claim } => self.handle_deny(now, &service, claim),
         }
     }
 
@@ -208,24 +213,25 @@
         self.choose_homes(now);
     }
 
-    /// Does what is due; call it after each of the above, and at [`Permits::next_at`].
+    /// Performs the actions that are due. To be called after each other method that changes state, and at
+    /// [`Permits::next_at`].
     pub fn step(&mut self, now: Micros) -> Vec<PermitEffect> {
         self.review_homes(now);
-        let has_word = self.has_word(now);
+        let has_core_lease = self.has_core_lease(now);
         let (me, life) = (&self.settings.me, self.settings.life);
         for (name, service) in &mut self.services {
             if let Some(home) = &service.home
-                && let Some(request) = service.holder.ask(name, life, now)
+                && let Some(request) = service.holder.next_request(name, life, now)
             {
-                match (&mut service.granting, request) {
+                match (&mut service.own_home, request) {
                     (Some(home), PermitMessage::Request { sent_at, wanted, settled, .. }) => {
                         home.settle(life, &settled, now);
-                        home.ask(me, life, sent_at, wanted, now);
+                        home.add_request(me, life, sent_at, wanted, now);
                     }
                     (_, message) => self.effects.push(PermitEffect::Send { to: home.clone(), message }),
                 }
             }
-            let Some(home) = service.granting.as_mut().filter(|_| has_word) else { continue };
+            let Some(home) = service.own_home.as_mut().filter(|_| has_core_lease) else { continue };
             for (to, message) in home.grant(life, &mut self.last_grant, now) {
                 match message {
                     PermitMessage::Grant { sent_at, grant, count, .. } if to == *me => {
@@ -239,12 +245,12 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// What became of this relay's places as home since the last call, by service. For the log.
+    /// Changes in the home roles of this relay since the last call, by service, for the log.
     pub fn take_events(&mut self, now: Micros) -> Vec<(Arc<str>, HomeEvent)> {
-        let has_word = self.has_word(now);
+        let has_core_lease = self.has_core_lease(now);
         let mut events = Vec::new();
         for (name, service) in &mut self.services {
-            let home = service.granting.as_mut().filter(|_| has_word);
+            let home = service.own_home.as_mut().filter(|_| has_core_lease);
             let newest = home.and_then(|home| home.event(now));
             let of_service = service.events.drain(..).chain(newest);
             events.extend(of_service.map(|event| (name.clone(), event)));
@@ -254,9 +260,10 @@
 
     /// When [`Permits::step`] is due.
     pub fn next_at(&self, now: Micros) -> Option<Micros> {
-        let has_word = self.has_word(now);
+        let has_core_lease = self.has_core_lease(now);
         let of_service = |service: &Service| {
-            let grants = service.granting.as_ref().filter(|_| has_word).and_then(|home| home.next_at(now));
+            let grants =
+                service.own_home.as_ref().filter(|_| has_core_lease).and_then(|home| home.next_at(now));
             [service.holder.next_at(), grants, service.claim_at, service.review_at]
                 .into_iter()
                 .flatten()
@@ -265,18 +272,18 @@
         self.services.values().filter_map(of_service).min()
     }
 
-    pub(crate) fn has_word(&self, now: Micros) -> bool {
-        now < self.core_until
+    pub(crate) fn has_core_lease(&self, now: Micros) -> bool {
+        now < self.core_lease_until
     }
 
-    /// Takes the home of each service from the list.
+    /// Chooses the home of each service from the relay list.
     pub(crate) fn choose_homes(&mut self, now: Micros) {
-        let has_word = self.has_word(now);
+        let has_core_lease = self.has_core_lease(now);
         let Settings { me, life, window, overshoot, core_lease, .. } = &self.settings;
-        let named = !self.relays.is_empty() && !self.services.is_empty();
+        let has_chosen = !self.relays.is_empty() && !self.services.is_empty();
         for (name, service) in &mut self.services {
             let home =
-                if self.is_leaving { service.next_home(&self.relays, me) } else { service.listed.get() };
+                if self.is_stopping { service.next_home(&self.relays, me) } else { service.listed.get() };
             if home == service.home.as_ref() {
                 continue;
             }
@@ -284,25 +291,27 @@
             service.holder.change_home();
             (service.claim_at, service.review_at) = (None, None);
             service.claims_made = 0;
-            service.leave_home(now, has_word);
+            service.leave_home(now, has_core_lease);
             if home.as_ref() == Some(me) {
-                let follows = !self.is_first;
-                let wait = if follows { core_lease + VALIDITY + MARGIN } else { SETTLING };
+                let has_predecessor = !self.is_first;
+                let wait =
+                    if has_predecessor { core_lease + VALIDITY + MARGIN } else { RELAY_LIST_SETTLING_TIME };
                 self.last_claim += 1;
                 let claim = ClaimId { life: *life, number: self.last_claim };
-                let (bounds, span) = ((*window, *overshoot), Opening { now, opens_at: now + wait, follows });
-                let mut home = Home::new(name.clone(), claim, service.rate, bounds, span);
+                let (limits, start) =
+                    ((*window, *overshoot), HomeStart { now, opens_at: now + wait, has_predecessor });
+                let mut home = Home::new(name.clone(), claim, service.rate, limits, start);
                 if let Some(ledger) = service.take_handed_ledger(now) {
-                    home.take_over(&ledger, now);
+                    home.accept_ledger(&ledger, now);
                 }
-                service.granting = Some(home);
+                service.own_home = Some(home);
                 service.claim_at = Some(now);
             }
             service.home = home;
         }
-        // Danger: lists of relays grow at the first start; only the first home of a list that stands is without
-        // predecessors.
-        if named {
+        // The relay list grows at the first start, so a later home may have a predecessor. Only the first chosen home
+        // can skip the wait for one.
+        if has_chosen {
             self.is_first = false;
         }
     }
--- a/crates/permits/src/ranking.rs
+++ b/crates/permits/src/ranking.rs
@@ -3,7 +3,7 @@
 use pewterseam_wire::identity::NodeName;
 use pewterseam_wire::placement::hash;
 
-/// The rank of a relay for a service; the greater goes first. The name settles what is equal.
+/// The rank of a relay for a service. The highest rank comes first, and the name breaks ties.
 pub type Rank<'a> = (u64, &'a NodeName);
 
 /// The order of all relays for one service.
@@ -23,7 +23,7 @@
         (hash(relay.0.as_bytes(), self.seed), relay)
     }
 
-    /// The relay that goes before all others, found in one pass.
+    /// The relay with the highest rank, found in one pass.
     pub fn first<'a>(&self, relays: impl IntoIterator<Item = &'a NodeName>) -> Option<&'a NodeName> {
         relays.into_iter().map(|relay| self.rank(relay)).max().map(|(_, relay)| relay)
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// How a list of relays differs from the one before; both are sorted, without doubles.
+/// Difference between two relay lists, both sorted and without duplicates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayChanges {
     added: Vec<NodeName>,
@@ -53,7 +53,7 @@
 }
 
 impl RelayChanges {
-    /// What has to come and go for one list to become the other.
+    /// The relays to add and remove to get from one list to the other.
     pub fn between(before: &[NodeName], after: &[NodeName]) -> Self {
         let missing_in = |list: &[NodeName], other: &[NodeName]| {
             list.iter().filter(|relay| other.binary_search(relay).is_err()).cloned().collect()
@@ -62,7 +62,7 @@
     }
 }
 
-/// The relay that the list names as the home of one service, kept up to date from change to change of the list.
+/// The home of one service by the relay list, updated incrementally as the list changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedHome {
     ranking: Ranking,
@@ -70,7 +70,7 @@
 }
 
 impl ListedHome {
-    /// The home of a service by a whole list.
+    /// Chooses the home of a service from a complete list.
     pub fn new(service: &str, relays: &[NodeName]) -> Self {
         let ranking = Ranking::of(service);
         ListedHome { ranking, home: ranking.first(relays).cloned() }
@@ -81,12 +81,12 @@
         self.ranking
     }
 
-    /// The relay that the list names; none by an empty list.
+    /// The listed home; `None` if the list is empty.
     pub fn get(&self) -> Option<&NodeName> {
         self.home.as_ref()
     }
 
-    /// Takes a changed list. All relays are looked at only where the home so far has gone.
+    /// Applies changes of the list. All relays are compared only if the current home was removed.
     pub fn update(&mut self, changes: &RelayChanges, relays: &[NodeName]) {
         let has_gone = self.home.as_ref().is_some_and(|home| changes.removed.binary_search(home).is_ok());
         let first = if has_gone {
--- a/crates/permits/src/recent.rs
+++ b/crates/permits/src/recent.rs
@@ -1,4 +1,4 @@
-//! What one home has granted lately, less what came back unused, and by how much that exceeds the rate.
+//! Recent grants of one home, without permits returned unused, and by how much they exceed the rate.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 use crate::VALIDITY;
 use crate::rate::{permits_in, rounded_up};
 
-/// How long a grant is kept by itself. A holder tells of unused permits soon after they have expired.
-const KEPT: Micros = 2 * VALIDITY;
+/// How long each grant is kept separately. A holder reports unused permits soon after they have expired.
+const RETENTION: Micros = 2 * VALIDITY;
 
-/// By how much grants exceed the rate at a time: of all spans that end then, the most by which the permits that were granted
-/// in one exceed what the rate gives in it.
+/// By how much grants exceed the rate at a time: the maximum, over all spans ending at that time, of the permits granted
+/// in the span minus those that the rate yields in it.
 #[derive(Clone, Copy, Debug)]
 struct Excess {
     at: Micros,
@@ -19,7 +19,7 @@
 }
 
 impl Excess {
-    /// The excess at a later time, if nothing is granted until then.
+    /// The excess at a later time, if no permits are granted until then.
     fn after(self, rate: f64, now: Micros) -> Excess {
         let gained = permits_in(rate, now.saturating_sub(self.at));
         Excess { at: self.at.max(now), permits: (self.permits - gained).max(0.0) }
@@ -31,35 +31,35 @@
     }
 }
 
-/// Permits that were granted lately and did not come back, by when they were granted.
+/// Recently granted permits that were not returned, by grant time.
 #[derive(Debug)]
 pub(crate) struct RecentGrants {
     rate: f64,
     grants: BTreeMap<Micros, u32>,
-    /// Before the grants that are kept.
+    /// The excess before the grants in `grants`.
     excess_before: Excess,
-    /// With them.
+    /// The excess including these grants.
     excess: Excess,
 }
 
 impl RecentGrants {
-    /// Grants that follow others with this excess.
-    pub(crate) fn following(rate: f64, permits: f64, at: Micros) -> Self {
+    /// Starts with the excess of earlier grants.
+    pub(crate) fn with_excess(rate: f64, permits: f64, at: Micros) -> Self {
         let excess = Excess { at, permits };
         RecentGrants { rate, grants: BTreeMap::new(), excess_before: excess, excess }
     }
 
-    /// Grants that follow those of a ledger, given as times before which permits were granted, and how many. Their
-    /// excess was `most` at most.
-    pub(crate) fn following_all(
-        rate: f64, granted: impl IntoIterator<Item = (Micros, u32)>, most: f64,
+    /// Starts with the grants of a ledger, given as times before which permits were granted, and their number. Their
+    /// excess was at most `max_excess`.
+    pub(crate) fn with_ledger(
+        rate: f64, granted: impl IntoIterator<Item = (Micros, u32)>, max_excess: f64,
     ) -> Self {
         let mut sorted: Vec<_> = granted.into_iter().collect();
         sorted.sort_unstable();
         let first = sorted.first().map_or(0, |(at, _)| *at);
         let start = Excess { at: first, permits: 0.0 };
         let excess = sorted.into_iter().fold(start, |excess, (at, count)| excess.granted(rate, count, at));
-        Self::following(rate, excess.permits.min(most), excess.at)
+        Self::with_excess(rate, excess.permits.min(max_excess), excess.at)
     }
 
     /// Books permits that are granted now.
@@ -69,8 +69,8 @@
         self.excess = self.excess.granted(self.rate, count, at);
     }
 
-    /// Books permits that were granted at a time and never used.
-    pub(crate) fn give_back(&mut self, count: u32, granted_at: Micros) {
+    /// Returns unused permits that were granted at `granted_at`.
+    pub(crate) fn return_unused(&mut self, count: u32, granted_at: Micros) {
         let Some(granted) = self.grants.get_mut(&rounded_up(granted_at)).filter(|_| count > 0) else {
             return;
         };
@@ -80,21 +80,21 @@
             all.fold(self.excess_before, |excess, (at, count)| excess.granted(self.rate, *count, *at));
     }
 
-    /// Forgets the times of grants that are too old to come back.
+    /// Merges grants that are too old to be returned into `excess_before`.
     pub(crate) fn advance(&mut self, now: Micros) {
-        while let Some(entry) = self.grants.first_entry().filter(|entry| entry.key() + KEPT <= now) {
+        while let Some(entry) = self.grants.first_entry().filter(|entry| entry.key() + RETENTION <= now) {
             let (at, count) = entry.remove_entry();
             self.excess_before = self.excess_before.granted(self.rate, count, at);
         }
     }
 
-    /// By how much the grants of any span that ends now exceed what the rate gives in it.
+    /// Maximum by which the grants of any span that ends now exceed what the rate yields in it.
     pub(crate) fn excess(&self, now: Micros) -> f64 {
         self.excess.after(self.rate, now).permits
     }
 
-    /// Permits that may have been used within [`VALIDITY`], or may still be.
-    pub(crate) fn out(&self, now: Micros) -> u32 {
+    /// Permits granted within the last [`VALIDITY`] and not returned, which may still be used.
+    pub(crate) fn outstanding(&self, now: Micros) -> u32 {
         self.grants.range(now.saturating_sub(VALIDITY)..).map(|(_, count)| count).sum()
     }
 }
--- a/crates/permits/src/shares.rs
+++ b/crates/permits/src/shares.rs
@@ -1,5 +1,5 @@
-//! Whose turn it is where more permits are wanted than there are: each relay has a fraction, and what underusers leave
-//! passes each round to those that used all of theirs.
+//! Division of permits among relays if more are requested than available: each relay has a fraction, and each round the
+//! unused part passes to the relays that used all of theirs.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,20 @@
 use pewterseam_wire::Micros;
 use pewterseam_wire::identity::NodeName;
 
-/// A round of the reallocation.
+/// Length of a reallocation round.
 const ROUND: Micros = 2_000_000;
-/// A relay that has asked for nothing for so long has no fraction any more.
+/// A relay that has sent no request for this time loses its fraction.
 const EXPIRY: Micros = 3 * ROUND;
-/// Part of an even share that each keeps. Departure from the decisions' quarter: nothing is lost by it, as permits that
-/// are not asked for go to others at once, and one with little to send does not wait behind one with much.
-const LEAST_SHARE: f64 = 1.0;
+/// Part of an even share that each relay keeps, instead of the quarter that the rate limit decisions use. No capacity is
+/// lost, as permits that are not requested go to other relays at once, and a relay with little to send does not wait
+/// behind one with much.
+const MIN_SHARE: f64 = 1.0;
 
-/// What the home knows of a relay that asks.
+/// State of a relay that requests permits.
 #[derive(Debug)]
 pub(crate) struct Asker {
     pub(crate) life: u64,
-    /// The newest request, by the asker's clock, and what is still wanted of it.
+    /// Time of the newest request by the clock of the requesting relay. `wanted` is the part of it that is not granted yet.
     pub(crate) sent_at: Micros,
     pub(crate) wanted: u32,
     pub(crate) heard_at: Micros,
@@ -29,7 +30,7 @@
     waited: bool,
 }
 
-/// The relays that ask for one service's permits.
+/// The relays that request permits of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     askers: BTreeMap<NodeName, Asker>,
@@ -37,8 +38,10 @@
 }
 
 impl Shares {
-    /// Books a request unless a later one has come before it.
-    pub(crate) fn ask(&mut self, from: &NodeName, life: u64, sent_at: Micros, wanted: u32, now: Micros) {
+    /// Stores a request, unless a later one was received before it.
+    pub(crate) fn add_request(
+        &mut self, from: &NodeName, life: u64, sent_at: Micros, wanted: u32, now: Micros,
+    ) {
         let even = 1.0 / (self.askers.len() + 1) as f64;
         let asker = self.askers.entry(from.clone()).or_insert(Asker {
             life,
@@ -54,36 +57,36 @@
         }
     }
 
-    /// Requests that are too old to be answered want nothing any more.
+    /// Drops requests that are too old to be answered.
     pub(crate) fn expire(&mut self, validity: Micros, now: Micros) {
         for asker in self.askers.values_mut().filter(|asker| asker.heard_at + validity <= now) {
             asker.wanted = 0;
         }
     }
 
-    pub(crate) fn wants(&self) -> bool {
+    pub(crate) fn has_requests(&self) -> bool {
         self.askers.values().any(|asker| asker.wanted > 0)
     }
 
-    /// The relay whose turn it is: the one that has had the least of its fraction in this round.
+    /// The next relay to receive a permit: the one that has used the smallest part of its fraction in this round.
     pub(crate) fn next(&mut self) -> Option<(&NodeName, &mut Asker)> {
-        let had = |asker: &Asker| asker.used / asker.fraction.max(f64::MIN_POSITIVE);
+        let used_part = |asker: &Asker| asker.used / asker.fraction.max(f64::MIN_POSITIVE);
         let wanting = self.askers.iter_mut().filter(|(_, asker)| asker.wanted > 0);
-        wanting.min_by(|a, b| had(a.1).total_cmp(&had(b.1)))
+        wanting.min_by(|a, b| used_part(a.1).total_cmp(&used_part(b.1)))
     }
 
-    /// Books that the relay got some of what it wanted.
-    pub(crate) fn give(asker: &mut Asker, count: u32) {
+    /// Books permits that were granted to the relay.
+    pub(crate) fn record_grant(asker: &mut Asker, count: u32) {
         asker.wanted -= count.min(asker.wanted);
         asker.used += f64::from(count);
     }
 
-    /// Books that requests are left over: who still wants has used all of its fraction.
-    pub(crate) fn leave_waiting(&mut self) {
+    /// Marks the relays with unmet requests, which have used all of their fraction.
+    pub(crate) fn mark_unmet_requests(&mut self) {
         self.askers.values_mut().filter(|asker| asker.wanted > 0).for_each(|asker| asker.waited = true);
     }
 
-    /// Ends a round when it is due: the surplus passes on.
+    /// Ends the round if it is due, and reallocates unused fractions.
     pub(crate) fn end_round(&mut self, rate: f64, now: Micros) {
         if now < self.round_ends_at {
             return;
@@ -98,7 +101,7 @@
             Report { senders: 1.0, designated, full, spare, used: asker.used, ..Report::default() }
         };
         let all = self.askers.values().map(report).fold(Report::default(), |sum, report| sum + report);
-        let least = LEAST_SHARE / self.askers.len().max(1) as f64;
+        let least = MIN_SHARE / self.askers.len().max(1) as f64;
         for asker in self.askers.values_mut() {
             asker.fraction = reallocate(&report(asker), &all).max(least);
             (asker.used, asker.waited) = (0.0, false);
--- a/crates/permits/tests/events.rs
+++ b/crates/permits/tests/events.rs
@@ -1,4 +1,4 @@
-//! What a home tells the log of itself.
+//! Log events of a home.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 const RATE: f64 = 39.0;
 const SERVICE: &str = "limited";
 
-/// A relay that is alone, and so the home of the service.
-fn alone(bootstrap: bool) -> Permits {
+/// The only relay, which is therefore the home of the service.
+fn single_relay(bootstrap: bool) -> Permits {
     let me = NodeName::new("relay");
     let mut permits = Permits::new(Settings {
         me: me.clone(),
@@ -30,7 +30,7 @@
     permits
 }
 
-/// Steps every 10 ms with demand that nobody meets, and gives the events.
+/// Steps every 10 ms with demand but without sending requests, and returns the events.
 fn events_without_use(permits: &mut Permits, from: Micros, until: Micros) -> Vec<HomeEvent> {
     let mut events = Vec::new();
     for now in (from..until).step_by(10_000) {
@@ -41,38 +41,38 @@
     events
 }
 
-/// Guards against logs that do not tell on what a home's first budget rests, by which a home that knows nothing of the one
-/// before is told from one that had none.
+/// Guards against logs without the source of a home's initial budget. It distinguishes a home that knows nothing of its
+/// predecessor from a home that had none.
 #[test]
-fn a_home_tells_on_what_its_budget_rests() {
+fn a_home_reports_the_source_of_its_budget() {
     for (bootstrap, wanted) in [(true, BudgetBasis::NoPredecessor), (false, BudgetBasis::Assumption)] {
-        let mut permits = alone(bootstrap);
+        let mut permits = single_relay(bootstrap);
         let events = events_without_use(&mut permits, 0, 2 * SECOND);
         assert!(matches!(events[0], HomeEvent::Waits { .. }), "{events:?}");
         let opens = events.iter().find_map(|event| match event {
             HomeEvent::Opens { basis, counts } => Some((*basis, counts.booked)),
             _ => None,
         });
-        let (basis, booked) = opens.expect("it opens");
+        let (basis, booked) = opens.expect("an event that the home opens");
         assert_eq!(basis, wanted);
         let books_a_window = f64::from(booked) > RATE * 5.0;
         assert_eq!(books_a_window, basis == BudgetBasis::Assumption, "{booked} booked");
     }
 }
 
-/// Guards against more permits that can be used at once than a window has beyond the rate, where none are used for long: a
-/// home that follows allows for no more.
+/// Guards against an accumulation of permits that can be used at once while none are used. A following home books only
+/// what a window allows beyond the rate.
 #[test]
-fn permits_that_nobody_uses_do_not_pile_up() {
-    let mut permits = alone(true);
+fn unused_permits_do_not_accumulate() {
+    let mut permits = single_relay(true);
     let allowed = RATE * 5.0 * 0.1 + RATE;
     for now in (0..12 * SECOND).step_by(10_000) {
         events_without_use(&mut permits, now, now + 10_000);
         let available = permits.available(now, SERVICE);
-        assert!(available as f64 <= allowed, "{available} in hand, {allowed} allowed, at {now}");
+        assert!(available as f64 <= allowed, "{available} available, {allowed} allowed, at {now}");
     }
     permits.hand_over(12 * SECOND);
     let (_, last) = permits.take_events(12 * SECOND).pop().expect("an event");
     let HomeEvent::Ends { counts } = last else { panic!("{last:?}") };
-    assert!(f64::from(counts.out) <= allowed, "{counts}, {allowed} allowed");
+    assert!(f64::from(counts.outstanding) <= allowed, "{counts}, {allowed} allowed");
 }
--- a/crates/permits/tests/network/mod.rs
+++ b/crates/permits/tests/network/mod.rs
@@ -1,4 +1,4 @@
-//! Relays with the real permits on a simulated network: losses, delays, doubles, cuts, freezes, deaths and joins.
+//! Relays with the real permits on a simulated network with loss, delay, duplication, partitions, stalls, crashes and joins.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
@@ -11,9 +11,9 @@
 
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// The simulation goes on in steps of this.
+/// Time step of the simulation.
 const STEP: Micros = 10 * MILLISECOND;
-/// Relays learn within this who lives, and the core's word usually holds for the latter.
+/// Relays learn of changes in the live relays within `VIEW_LAG`. `CORE_LEASE` is the default duration of a core lease.
 pub const VIEW_LAG: Micros = SECOND;
 pub const CORE_LEASE: Micros = 2 * SECOND;
 const SERVICE: &str = "limited";
@@ -35,66 +35,66 @@
     }
 }
 
-/// What goes wrong, as chances for each relay and second, and for each message.
+/// Faults, as probabilities per relay and second, or per message.
 #[derive(Clone, Copy, Debug)]
-pub struct Troubles {
+pub struct Faults {
     pub lost: f64,
-    pub doubled: f64,
-    pub cut: f64,
-    pub frozen: f64,
+    pub duplicated: f64,
+    pub partitioned: f64,
+    pub stalled: f64,
     pub killed: f64,
-    /// Ended in order: what the relay grants is handed over before it goes.
+    /// Shut down cleanly: the relay hands over its grants before it ends.
     pub stopped: f64,
-    /// How long the core's word holds.
-    pub word: Micros,
-    /// New homes wait for this part of the time that a relay which was cut off may hold the core's word; less than one is
-    /// a planted fault.
-    pub waited_part: f64,
+    /// Duration of a core lease.
+    pub core_lease: Micros,
+    /// New homes wait for this fraction of the time for which a partitioned relay may hold its core lease. Less than one
+    /// is a planted fault.
+    pub lease_wait_factor: f64,
     /// The core agrees on the relays that may be homes: all of them, from the start.
     pub homes_are_agreed: bool,
-    /// Each relay takes itself for the only one on the agreed list: a planted fault.
-    pub lists_itself_alone: bool,
-    /// All relays lose power at the same moment, so often a second.
-    pub all_killed: f64,
-    /// No host answers for a while, so often a second: permits are granted, and nobody can use them.
-    pub all_cut_from_hosts: f64,
-    /// A relay that is cut off goes on at the pace that it last had, without permits: a planted fault.
+    /// The agreed list of each relay contains only itself: a planted fault.
+    pub omits_others_from_list: bool,
+    /// Probability per second that all relays lose power at the same time.
+    pub power_loss: f64,
+    /// Probability per second of an outage of all hosts, during which permits are granted but cannot be used.
+    pub host_outage: f64,
+    /// A partitioned relay continues to send without permits: a planted fault.
     pub keeps_sending: bool,
 }
 
-pub const CALM: Troubles = Troubles {
+pub const NO_FAULTS: Faults = Faults {
     lost: 0.0,
-    doubled: 0.0,
-    cut: 0.0,
-    frozen: 0.0,
+    duplicated: 0.0,
+    partitioned: 0.0,
+    stalled: 0.0,
     killed: 0.0,
     stopped: 0.0,
-    word: CORE_LEASE,
-    waited_part: 1.0,
+    core_lease: CORE_LEASE,
+    lease_wait_factor: 1.0,
     homes_are_agreed: false,
-    lists_itself_alone: false,
-    all_killed: 0.0,
-    all_cut_from_hosts: 0.0,
+    omits_others_from_list: false,
+    power_loss: 0.0,
+    host_outage: 0.0,
     keeps_sending: false,
 };
 
 struct Relay {
     name: NodeName,
     permits: Permits,
-    /// Messages that wait.
+    /// Number of waiting messages.
     waiting: u32,
     in_use: VecDeque<(Permit, Micros)>,
     inbox: VecDeque<(NodeName, PermitMessage)>,
-    cut_until: Micros,
-    /// It reaches no host up to then.
-    cut_from_hosts_until: Micros,
-    frozen_until: Micros,
-    /// Up from then on.
+    partitioned_until: Micros,
+    /// The relay reaches no host until this time.
+    no_hosts_until: Micros,
+    stalled_until: Micros,
+    /// The time at which the relay starts again.
     up_at: Micros,
     viewed_at: Micros,
     is_up: bool,
     life: u64,
-    /// Times of its last sends.
+    /// Times of the latest requests.
     sent: VecDeque<Micros>,
 }
 
@@ -102,26 +102,24 @@
     pub now: Micros,
     random: Random,
     relays: Vec<Relay>,
-    flying: BTreeMap<(Micros, u64), (usize, usize, PermitMessage)>,
+    in_transit: BTreeMap<(Micros, u64), (usize, usize, PermitMessage)>,
     last_message: u64,
     pub rate: f64,
     pub window: Micros,
     pub overshoot: f64,
-    /// All requests that went out, in order.
+    /// Times of all requests sent, in order.
     pub sent: Vec<Micros>,
-    /// How long messages waited, summed, and how many of them went.
+    /// Total waiting time of all messages.
     pub waited: Micros,
     arrivals_per_s: f64,
-    troubles: Troubles,
-    /// So many messages a second come to the first relay alone, beside all others.
+    faults: Faults,
+    /// Additional messages per second that arrive at the first relay only.
     pub greedy_per_s: f64,
 }
 
-fn permits(
-    name: &NodeName, life: u64, bounds: (Micros, f64), bootstrap: bool, troubles: &Troubles,
-) -> Permits {
+fn permits(name: &NodeName, life: u64, bounds: (Micros, f64), bootstrap: bool, faults: &Faults) -> Permits {
     let (me, (window, overshoot)) = (name.clone(), bounds);
-    let core_lease = (troubles.word as f64 * troubles.waited_part) as Micros;
+    let core_lease = (faults.core_lease as f64 * faults.lease_wait_factor) as Micros;
     Permits::new(Settings {
         me,
         life,
@@ -129,23 +127,23 @@
         overshoot,
         bootstrap,
         core_lease,
-        homes_are_agreed: troubles.homes_are_agreed,
+        homes_are_agreed: faults.homes_are_agreed,
     })
 }
 
 impl Network {
-    pub fn new(seed: u64, count: usize, rate: f64, arrivals_per_s: f64, troubles: Troubles) -> Self {
+    pub fn new(seed: u64, count: usize, rate: f64, arrivals_per_s: f64, faults: Faults) -> Self {
         let (window, overshoot) = (5 * SECOND, 1.1);
         let names: Vec<_> = (0..count).map(|number| NodeName::new(&format!("relay-{number}"))).collect();
         let relay = |name: &NodeName| Relay {
             name: name.clone(),
-            permits: permits(name, 1, (window, overshoot), true, &troubles),
+            permits: permits(name, 1, (window, overshoot), true, &faults),
             waiting: 0,
             in_use: VecDeque::new(),
             inbox: VecDeque::new(),
-            cut_until: 0,
-            cut_from_hosts_until: 0,
-            frozen_until: 0,
+            partitioned_until: 0,
+            no_hosts_until: 0,
+            stalled_until: 0,
             up_at: 0,
             viewed_at: 0,
             is_up: true,
@@ -157,7 +155,7 @@
             now: SECOND,
             random: Random(seed),
             relays,
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             last_message: 0,
             rate,
             window,
@@ -165,7 +163,7 @@
             sent: Vec::new(),
             waited: 0,
             arrivals_per_s,
-            troubles,
+            faults,
             greedy_per_s: 0.0,
         };
         for index in 0..count {
@@ -175,7 +173,7 @@
         network
     }
 
-    /// Has all relays lose power at the same moment, and start again within a fifth of a second of one another.
+    /// Kills all relays at the same time. They start again within 200 ms of one another.
     pub fn kill_all(&mut self, down_for: Micros) {
         for index in 0..self.relays.len() {
             let late = self.random.below(200 * MILLISECOND);
@@ -185,12 +183,12 @@
 
     fn configure(&mut self, index: usize) {
         let services = [(Arc::from(SERVICE), self.rate)];
-        let is_listed = |other: &usize| *other == index || !self.troubles.lists_itself_alone;
+        let is_listed = |other: &usize| *other == index || !self.faults.omits_others_from_list;
         let listed = (0..self.relays.len()).filter(is_listed);
         let names: Vec<_> = listed.map(|other| self.relays[other].name.clone()).collect();
         self.relays[index].permits.set_agreed_homes(self.now, &names);
         self.relays[index].permits.set_services(self.now, services);
-        self.relays[index].permits.set_core_lease(self.now, self.now + self.troubles.word);
+        self.relays[index].permits.set_core_lease(self.now, self.now + self.faults.core_lease);
     }
 
     /// Runs for a span of time.
@@ -198,37 +196,35 @@
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
-            self.trouble();
+            self.inject_faults();
             self.deliver();
-            self.arrive();
-            self.arrive_at_the_first();
+            self.add_arrivals();
+            self.add_greedy_arrivals();
             for index in 0..self.relays.len() {
-                self.tell_views(index);
+                self.update_view(index);
                 self.act(index);
             }
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         let part = STEP as f64 / SECOND as f64;
-        let Troubles { cut, frozen, killed, stopped, .. } = self.troubles;
-        if self.troubles.all_killed > 0.0 && self.random.chance(self.troubles.all_killed * part) {
+        let Faults { partitioned, stalled, killed, stopped, .. } = self.faults;
+        if self.faults.power_loss > 0.0 && self.random.chance(self.faults.power_loss * part) {
             self.kill_all(SECOND);
         }
-        if self.troubles.all_cut_from_hosts > 0.0
-            && self.random.chance(self.troubles.all_cut_from_hosts * part)
-        {
+        if self.faults.host_outage > 0.0 && self.random.chance(self.faults.host_outage * part) {
             let span = SECOND + self.random.below(8 * SECOND);
-            self.cut_from_hosts(0..self.relays.len(), self.now + span);
+            self.block_hosts(0..self.relays.len(), self.now + span);
         }
         for index in 0..self.relays.len() {
             let span = 200 * MILLISECOND + self.random.below(6 * SECOND);
             let relay = &mut self.relays[index];
-            if self.random.chance(cut * part) {
-                relay.cut_until = self.now + span;
+            if self.random.chance(partitioned * part) {
+                relay.partitioned_until = self.now + span;
             }
-            if self.random.chance(frozen * part) {
-                relay.frozen_until = self.now + span;
+            if self.random.chance(stalled * part) {
+                relay.stalled_until = self.now + span;
             }
             if relay.is_up && self.random.chance(killed * part) {
                 self.kill(index, self.now + span / 4);
@@ -240,28 +236,28 @@
             if !relay.is_up && relay.up_at <= self.now {
                 (relay.is_up, relay.viewed_at) = (true, 0);
                 let bounds = (self.window, self.overshoot);
-                relay.permits = permits(&relay.name, relay.life, bounds, false, &self.troubles);
+                relay.permits = permits(&relay.name, relay.life, bounds, false, &self.faults);
                 self.configure(index);
             }
         }
     }
 
-    /// Has these relays reach no host up to a time to come.
-    pub fn cut_from_hosts(&mut self, relays: Range<usize>, until: Micros) {
+    /// Prevents these relays from reaching any host until a later time.
+    pub fn block_hosts(&mut self, relays: Range<usize>, until: Micros) {
         for relay in &mut self.relays[relays] {
-            relay.cut_from_hosts_until = relay.cut_from_hosts_until.max(until);
+            relay.no_hosts_until = relay.no_hosts_until.max(until);
         }
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let is_cut = |index: usize| self.relays[index].cut_until > self.now;
-        from == to || !(is_cut(from) || is_cut(to))
+        let is_partitioned = |index: usize| self.relays[index].partitioned_until > self.now;
+        from == to || !(is_partitioned(from) || is_partitioned(to))
     }
 
-    /// A relay's list of the living lags behind by up to [`VIEW_LAG`], and the core's word comes twice a second.
-    fn tell_views(&mut self, index: usize) {
+    /// Updates a relay's list of live relays, which lags by up to [`VIEW_LAG`], and renews its core lease at the same time.
+    fn update_view(&mut self, index: usize) {
         let relay = &self.relays[index];
-        if !relay.is_up || relay.frozen_until > self.now {
+        if !relay.is_up || relay.stalled_until > self.now {
             return;
         }
         if self.random.chance(STEP as f64 / VIEW_LAG as f64 * 4.0) || relay.viewed_at + VIEW_LAG <= self.now {
@@ -269,7 +265,7 @@
                 let other_relay = &self.relays[*other];
                 *other == index
                     || (other_relay.is_up
-                        && other_relay.frozen_until <= self.now
+                        && other_relay.stalled_until <= self.now
                         && self.reaches(index, *other))
             };
             let names: Vec<_> =
@@ -280,12 +276,12 @@
             relay.viewed_at = now;
             relay.permits.set_relays(now, &names);
             if has_core {
-                relay.permits.set_core_lease(now, now + self.troubles.word);
+                relay.permits.set_core_lease(now, now + self.faults.core_lease);
             }
         }
     }
 
-    fn arrive(&mut self) {
+    fn add_arrivals(&mut self) {
         let each = self.arrivals_per_s * STEP as f64 / SECOND as f64;
         let count = each as u64 + u64::from(self.random.chance(each.fract()));
         for _ in 0..count {
@@ -294,13 +290,13 @@
         }
     }
 
-    fn arrive_at_the_first(&mut self) {
+    fn add_greedy_arrivals(&mut self) {
         let each = self.greedy_per_s * STEP as f64 / SECOND as f64;
         self.relays[0].waiting += each as u32 + u32::from(self.random.chance(each.fract()));
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.flying.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(entry) = self.in_transit.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let (from, to, message) = entry.remove();
             if self.reaches(from, to) && self.relays[to].is_up {
                 let name = self.relays[from].name.clone();
@@ -312,7 +308,7 @@
     fn act(&mut self, index: usize) {
         let now = self.now;
         let relay = &mut self.relays[index];
-        if !relay.is_up || relay.frozen_until > now {
+        if !relay.is_up || relay.stalled_until > now {
             return;
         }
         while let Some((from, message)) = relay.inbox.pop_front() {
@@ -322,11 +318,11 @@
         let effects = relay.permits.step(now);
         self.waited += STEP * u64::from(relay.waiting);
         while relay.waiting > 0
-            && now >= relay.cut_from_hosts_until
+            && now >= relay.no_hosts_until
             && let Some(permit) = relay.permits.take(now, SERVICE)
         {
             relay.waiting -= 1;
-            // The connection may have to open.
+            // A new connection may have to be opened first.
             let opens_at =
                 now + [0, 0, 0, 300 * MILLISECOND, 1_200 * MILLISECOND][self.random.below(5) as usize];
             relay.in_use.push_back((permit, opens_at));
@@ -345,8 +341,8 @@
             }
         }
         relay.sent.retain(|at| *at + 2 * SECOND > now);
-        let is_cut = relay.cut_until > now;
-        if self.troubles.keeps_sending && is_cut && relay.waiting > 0 {
+        let is_partitioned = relay.partitioned_until > now;
+        if self.faults.keeps_sending && is_partitioned && relay.waiting > 0 {
             relay.waiting -= 1;
             self.sent.push(now);
         }
@@ -357,20 +353,20 @@
 
     fn send(&mut self, from: usize, to: &NodeName, message: PermitMessage) {
         let Some(to) = self.relays.iter().position(|relay| relay.name == *to) else { return };
-        let copies = if self.random.chance(self.troubles.lost) {
+        let copies = if self.random.chance(self.faults.lost) {
             0
         } else {
-            1 + u32::from(self.random.chance(self.troubles.doubled))
+            1 + u32::from(self.random.chance(self.faults.duplicated))
         };
         for _ in 0..copies {
-            let slow = if self.random.chance(self.troubles.lost) { SECOND } else { 30 * MILLISECOND };
+            let slow = if self.random.chance(self.faults.lost) { SECOND } else { 30 * MILLISECOND };
             let at = self.now + MILLISECOND + self.random.below(slow);
             self.last_message += 1;
-            self.flying.insert((at, self.last_message), (from, to, message.clone()));
+            self.in_transit.insert((at, self.last_message), (from, to, message.clone()));
         }
     }
 
-    /// Has a relay's process end, to start again at a time to come.
+    /// Kills a relay's process, which starts again at a later time.
     pub fn kill(&mut self, index: usize, until: Micros) {
         let relay = &mut self.relays[index];
         (relay.is_up, relay.up_at, relay.waiting, relay.life) = (false, until, 0, relay.life + 1);
@@ -378,10 +374,10 @@
         relay.inbox.clear();
     }
 
-    /// Has a relay's process end in order, to start again at a time to come.
+    /// Shuts a relay's process down cleanly. It starts again at a later time.
     pub fn stop(&mut self, index: usize, until: Micros) {
         let now = self.now;
-        if self.relays[index].frozen_until <= now {
+        if self.relays[index].stalled_until <= now {
             self.relays[index].permits.hand_over(now);
             for PermitEffect::Send { to, message } in self.relays[index].permits.step(now) {
                 self.send(index, &to, message);
@@ -390,34 +386,34 @@
         self.kill(index, until);
     }
 
-    /// The relay that is the home while all live.
+    /// The relay that is the home while all relays are live.
     pub fn home(&self) -> usize {
         let name = Ranking::of(SERVICE).first(self.relays.iter().map(|relay| &relay.name)).expect("a relay");
         self.relays.iter().position(|relay| relay.name == *name).expect("it is one of them")
     }
 
-    /// The longest time without a request since then.
+    /// The longest time without a request since `since`.
     pub fn longest_gap(&self, since: Micros) -> Micros {
         let times = self.sent.iter().copied().filter(|at| *at >= since);
         let times: Vec<_> = [since].into_iter().chain(times).chain([self.now]).collect();
         times.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(0)
     }
 
-    /// The most requests in any window, and how many the rule allows.
+    /// The maximum number of requests in any window, and the allowed number.
     pub fn worst_window(&self) -> (usize, f64) {
         let allowed = self.rate * self.window as f64 / 1e6 * self.overshoot + 5.0;
         let mut first = 0;
-        let mut most = 0;
+        let mut max_requests = 0;
         for (last, at) in self.sent.iter().enumerate() {
             while self.sent[first] + self.window < *at {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max_requests = max_requests.max(last + 1 - first);
         }
-        (most, allowed)
+        (max_requests, allowed)
     }
 
-    /// Messages that wait at all relays but the first.
+    /// Messages waiting at all relays except the first.
     pub fn waiting_at_others(&self) -> u32 {
         self.relays[1..].iter().map(|relay| relay.waiting).sum()
     }
--- a/crates/permits/tests/ranking.rs
+++ b/crates/permits/tests/ranking.rs
@@ -1,4 +1,4 @@
-//! The home of a service, kept from change to change of the list of relays, is the one that the whole list gives.
+//! The incrementally updated home of a service equals the home chosen from the complete relay list.
 
 use pewterseam_permits::ranking::{ListedHome, Ranking, RelayChanges};
 use pewterseam_wire::identity::NodeName;
@@ -12,7 +12,7 @@
     names
 }
 
-/// The whole order, by sorting.
+/// All relays in rank order, by sorting.
 fn sorted(ranking: Ranking, relays: &[NodeName]) -> Vec<&NodeName> {
     let mut sorted: Vec<&NodeName> = relays.iter().collect();
     sorted.sort_by_key(|relay| std::cmp::Reverse(ranking.rank(relay)));
@@ -20,20 +20,20 @@
 }
 
 quickcheck! {
-    fn a_home_kept_from_change_to_change_is_that_of_the_whole_list(lists: Vec<Vec<u8>>, service: u16) -> bool {
+    fn an_updated_home_equals_that_of_the_complete_list(lists: Vec<Vec<u8>>, service: u16) -> bool {
         let service = format!("service-{service}");
         let mut relays = Vec::new();
-        let mut kept = ListedHome::new(&service, &relays);
+        let mut updated = ListedHome::new(&service, &relays);
         lists.iter().all(|list| {
             let next = names(list);
-            kept.update(&RelayChanges::between(&relays, &next), &next);
+            updated.update(&RelayChanges::between(&relays, &next), &next);
             relays = next;
-            kept == ListedHome::new(&service, &relays)
-                && kept.get() == sorted(kept.ranking(), &relays).first().copied()
+            updated == ListedHome::new(&service, &relays)
+                && updated.get() == sorted(updated.ranking(), &relays).first().copied()
         })
     }
 
-    fn the_first_few_are_those_of_the_whole_order(list: Vec<u8>, count: u8, service: u16) -> bool {
+    fn the_first_few_equal_those_of_the_complete_order(list: Vec<u8>, count: u8, service: u16) -> bool {
         let relays = names(&list);
         let ranking = Ranking::of(&format!("service-{service}"));
         let mut all = sorted(ranking, &relays);
