--- a/crates/delivery/src/interface.rs
+++ b/crates/delivery/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the machine and what comes out of it.
+//! Inputs and effects of the delivery state machine.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceConfig {
     pub name: Arc<str>,
-    /// Arrivals a second from all relays together; 0 where there is no limit.
+    /// Maximum requests per second from all relays together; 0 if there is no limit.
     pub rate_per_s: f64,
-    /// Connections that each host accepts from all relays together; 0 where that is not told.
+    /// Connections that each host accepts from all relays together; 0 if unknown.
     pub max_connections: u32,
-    /// The only endpoint of a service that stands on no list.
+    /// The only endpoint of a service without listed hosts.
     pub static_address: Option<SocketAddr>,
-    /// Hosts answer a repeat with the first success.
+    /// Whether hosts answer a repeated message with the result of its first success.
     pub idempotent: bool,
     pub health_path: Arc<str>,
 }
@@ -31,40 +31,40 @@
     pub service: Arc<str>,
     pub address: SocketAddr,
     pub zone: Arc<str>,
-    /// Messages that it works on at a time; 0 where that is not told.
+    /// Number of messages that the host processes at a time; 0 if unknown.
     pub slots: u32,
-    /// False for one that is draining.
+    /// False while the host is draining.
     pub ready: bool,
-    /// How much longer it is slow.
+    /// Remaining time for which the host is slow after its start.
     pub cold_remaining_ms: u64,
 }
 
 /// A message that is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// The caller's number of the message, unique among those held.
+    /// The caller's number of the message, unique among held messages.
     pub key: u64,
     pub service: Arc<str>,
     /// 0 is highest.
     pub priority: u8,
-    /// Time of one attempt.
+    /// Timeout of one attempt.
     pub timeout: Micros,
     /// When the message was due; its run should start within `schedule_target` of it.
     pub due_at: Micros,
     pub schedule_target: Micros,
-    /// Attempts that were answered with 500. Each makes the pause before the next one longer.
+    /// Attempts that were answered with 500. Each increases the backoff before the next attempt.
     pub failures: u32,
 }
 
-/// The number of an attempt, unique in the life of the machine.
+/// The number of an attempt, unique within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// A host, as named in probes and closes.
+/// Identifies a host in probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostKey(pub u64);
 
-/// Where an attempt goes.
+/// The target host of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Target {
     pub address: SocketAddr,
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
     pub status: u16,
-    /// The host says that it did not run the message.
+    /// The host reports that it did not run the message.
     pub not_executed: bool,
     /// `X-Response-Signature`.
     pub signature: Option<Arc<str>>,
@@ -88,11 +88,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptResult {
     Answered(Answer),
-    /// No connection; nothing was sent.
+    /// The connection could not be opened, and nothing was sent.
     ConnectFailed,
-    /// No whole answer to the message came on its connection; it may have run.
+    /// No complete answer to the message was received on its connection. The message may have run.
     Broken(BrokenBy),
-    /// No answer within the timeout; it may have run.
+    /// No answer was received within the timeout. The message may have run.
     TimedOut,
     /// Ended by [`Effect::Withhold`] or before anything was written.
     Unsent,
@@ -103,15 +103,15 @@
 pub enum BrokenBy {
     /// The connection closed or was reset before an answer began.
     Close,
-    /// An answer came that is to another message, or to none.
+    /// The received answer belongs to another message, or to none.
     OtherAnswer,
-    /// The answer began, and the connection ended within it.
+    /// The connection closed within the answer.
     CutShort,
-    /// Nothing marks where the body ends, so that a part of it would pass for the whole.
+    /// The answer does not delimit its body, so a truncated body could not be detected.
     NoMarkedEnd,
-    /// What came is no HTTP.
+    /// The received data is not HTTP.
     NotHttp,
-    /// The relay called the attempt off.
+    /// The relay aborted the attempt.
     CalledOff,
     /// The message cannot be written as a request.
     Unwritable,
@@ -121,12 +121,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             BrokenBy::Close => "its connection closed before an answer",
-            BrokenBy::OtherAnswer => "an answer to another message came",
-            BrokenBy::CutShort => "its answer was cut short",
-            BrokenBy::NoMarkedEnd => "its answer has no marked end",
-            BrokenBy::NotHttp => "what came is no HTTP",
-            BrokenBy::CalledOff => "it was called off",
-            BrokenBy::Unwritable => "its message is no valid request",
+            BrokenBy::OtherAnswer => "an answer to another message was received",
+            BrokenBy::CutShort => "its answer was truncated",
+            BrokenBy::NoMarkedEnd => "its answer does not delimit its body",
+            BrokenBy::NotHttp => "the received data is not HTTP",
+            BrokenBy::CalledOff => "it was aborted",
+            BrokenBy::Unwritable => "its message is not a valid request",
         })
     }
 }
@@ -134,17 +134,17 @@
 /// Why the answer to an attempt has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// No attempt of this number is out.
+    /// No attempt with this number is in flight.
     UnknownAttempt,
-    /// Its message is over, or stands elsewhere than at this attempt.
-    MessageNotOut,
+    /// The message has ended, or is not in flight with this attempt.
+    MessageNotInFlight,
 }
 
 impl fmt::Display for DropReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            DropReason::UnknownAttempt => "no such attempt is out",
-            DropReason::MessageNotOut => "its message does not wait for it",
+            DropReason::UnknownAttempt => "no such attempt is in flight",
+            DropReason::MessageNotInFlight => "its message is not in flight with this attempt",
         })
     }
 }
@@ -155,33 +155,33 @@
     pub result: AttemptResult,
     /// Time from start to end.
     pub took: Micros,
-    /// How long the connection had been idle; none for a new one.
+    /// How long the connection had been idle; `None` for a new connection.
     pub idle_for: Option<Micros>,
     /// The connection is idle now and may carry another attempt.
     pub kept: bool,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The services of the configuration that came in force.
+    /// The services of the configuration now in force.
     Services(Vec<ServiceConfig>),
-    /// The platform's whole list as it was read without error; a host that is missing is gone.
+    /// The platform's complete list, read without error. Hosts that are missing have been removed.
     Hosts(Vec<Instance>),
-    /// The live relays, this one included or not.
+    /// The live relays, with or without this one.
     Relays(Vec<NodeName>),
-    /// The relays that may hand out permits, as the core has agreed on them.
+    /// The relays that may grant permits, as agreed by the core.
     AgreedHomes(Arc<Vec<NodeName>>),
     Submit(Submission),
-    /// What is asked of a message that was submitted has changed. An attempt that is out, or whose connection opens for
-    /// another service, is not cut off; what follows it goes by this.
+    /// Replaces the submission of a message. An attempt in flight is not aborted; later attempts use the new submission. If
+    /// its connection is still opening for another service, its request is withheld.
     Revise(Submission),
-    /// The message is over for its owner; an attempt that is out runs on and its result is dropped.
+    /// The owner no longer needs the message. An attempt in flight continues, and its result is dropped.
     Withdraw {
         key: u64,
     },
-    /// The connection for an attempt is open and nothing is written: [`Effect::Write`] or [`Effect::Withhold`] is the
-    /// answer.
+    /// The connection for an attempt is open and nothing is written yet. The response is [`Effect::Write`] or
+    /// [`Effect::Withhold`].
     Opened {
         attempt: AttemptId,
     },
@@ -189,47 +189,47 @@
         attempt: AttemptId,
         end: AttemptEnd,
     },
-    /// A health check ended; true for 200 from the right instance.
+    /// A health check ended. `healthy` is true after a 200 from the expected instance.
     Probed {
         host: HostKey,
         healthy: bool,
     },
-    /// What [`Effect::Tell`] gave another relay.
+    /// Bytes that another relay sent with [`Effect::Tell`].
     Peer {
         from: NodeName,
         bytes: Bytes,
     },
-    /// This relay holds the core's word until then, by the local clock; `Micros::MAX` stands for always. Before the
-    /// first one, this relay grants no permits where it is a service's home.
+    /// This relay holds a lease from the core until `until` by the local clock; `Micros::MAX` means without expiry. Before
+    /// the first lease, this relay grants no permits as home of a service.
     CoreLease {
         until: Micros,
     },
-    /// Start nothing any more; the process ends at `by`.
+    /// Starts no further attempts; the process ends at `by`.
     Stop {
         by: Micros,
     },
-    /// The process ends now: other relays grant the permits of the services that this one is the home of.
+    /// Hands over the homes of services on this relay to other relays, as the process ends now.
     HandOver,
-    /// The time of a [`Effect::Wake`] has come.
+    /// The time of an [`Effect::Wake`] was reached.
     Tick,
 }
 
-/// What became of a message; its owner decides what follows.
+/// Outcome of a message. Its owner decides what follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Done, with the host's signature.
+    /// The message completed, with the host's signature.
     Completed { signature: Arc<str> },
     /// One attempt was answered with 500.
     Failed,
-    /// It can never be done (422).
+    /// The host rejected the message permanently (422).
     Refused,
 }
 
-/// What to do, in order.
+/// An action for the caller. Effects must be applied in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Make an attempt, on an idle connection or on a new one that opens within `connect_timeout`. On a new one, and
-    /// on any if `confirm` is set, [`Input::Opened`] comes before the request is written.
+    /// Start an attempt on an idle connection, or on a new connection that opens within `connect_timeout`. On a new
+    /// connection, and on any if `confirm` is set, [`Input::Opened`] must be reported before the request is written.
     Start {
         attempt: AttemptId,
         key: u64,
@@ -241,22 +241,22 @@
     },
     /// Write the request on the connection that was opened for it.
     Write { attempt: AttemptId },
-    /// Write nothing and keep the connection. The attempt is over; no `Ended` is wanted.
+    /// Write nothing and keep the connection. The attempt has ended without an `Ended` input.
     Withhold { attempt: AttemptId },
-    /// Close the connection of an attempt; it ends as `Broken`, or `Unsent` where nothing was written.
+    /// Close the connection of an attempt. It ends as `Broken`, or as `Unsent` if nothing was written.
     Abort { attempt: AttemptId },
     /// The message is no longer held.
     Finished { key: u64, outcome: Outcome },
-    /// What the answer to an attempt says of its message has no effect. For the log.
+    /// The answer to an attempt has no effect on its message. For the log.
     Dropped { attempt: AttemptId, outcome: Outcome, reason: DropReason },
-    /// Something became of this relay's place as home of a limited service. For the log.
+    /// The home role of this relay for a limited service changed. For the log.
     ReportHome { service: Arc<str>, event: HomeEvent },
-    /// `GET` the health path.
+    /// Send a `GET` request to the health path.
     Probe { host: HostKey, target: Target, path: Arc<str>, timeout: Micros },
     /// Close the idle connections to an address.
     CloseIdle { address: SocketAddr },
-    /// Hand these bytes to another relay; they may be lost.
+    /// Send these bytes to another relay. They may be lost.
     Tell { to: NodeName, bytes: Bytes },
-    /// Step with [`Input::Tick`] then, unless something happens before; replaces the last one.
+    /// Call `step` with [`Input::Tick`] at this time, unless another input comes earlier. Replaces the previous wake-up.
     Wake(Micros),
 }
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -1,16 +1,16 @@
-//! Delivery of due messages to hosts, as one relay does it.
+//! Delivery of due messages to hosts by one relay.
 //!
-//! [`Delivery`] drives the decisions of [`pewterseam::Brain`]: it gives names to what the decisions number, hands them
-//! the messages that may go, keeps hosts from them that take nothing now, and tells the owner of each message what
-//! became of it. It does no I/O; `pewterseam-outbound` makes the calls.
+//! [`Delivery`] drives [`pewterseam::Brain`], which decides which message is sent to which host: it maps the numbers used
+//! by the brain to services and hosts, offers it the messages that may be sent, hides hosts that are not available, and
+//! reports the outcome of each message to its owner. It does no I/O; `pewterseam-outbound` makes the calls.
 
 mod attempts;
 mod backoff;
+mod classification;
 mod connections;
 mod delivery;
 mod hosts;
 mod interface;
-mod judging;
 mod messages;
 mod numbering;
 mod peers;
--- a/crates/delivery/src/messages.rs
+++ b/crates/delivery/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages on hand: waiting for their turn, handed to the decisions, or resting before another attempt.
+//! The held messages: queued for their service, offered to the brain, in flight, or delayed before a retry.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -8,73 +8,74 @@
 
 use crate::interface::Submission;
 
-/// Messages of one service that the decisions choose among at a time.
-const WINDOW: usize = 24;
+/// Maximum number of messages of one service that are offered to the brain at a time.
+const MAX_OFFERED_PER_SERVICE: usize = 24;
 
-/// Where a message stands.
+/// Delivery state of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
-    /// In line for its service.
-    InLine,
-    /// Before the decisions, under this number.
-    Handed(MessageId),
-    /// An attempt of it is out.
-    Out(MessageId),
-    Resting {
+pub(crate) enum MessageState {
+    /// In the queue of its service.
+    Queued,
+    /// Offered to the brain under this ID.
+    Offered(MessageId),
+    /// An attempt is in flight.
+    InFlight(MessageId),
+    Delayed {
         until: Micros,
     },
 }
 
-/// A message on hand.
+/// A held message.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldMessage {
     pub(crate) submission: Submission,
-    pub(crate) place: Place,
-    /// Attempts without a clear answer, and answers that it runs elsewhere or that a rate is used up.
-    pub(crate) silences: u32,
+    pub(crate) state: MessageState,
+    /// Number of attempts without a clear answer. `conflicts` counts answers that the message runs elsewhere or that the
+    /// rate limit is reached.
+    pub(crate) unclear_attempts: u32,
     pub(crate) conflicts: u32,
-    /// Attempts since it was last handed to the decisions, as they count them.
+    /// Attempts since the message was last offered to the brain, as the brain counts them.
     attempts: u32,
 }
 
-impl Held {
-    /// Whether the attempt that the decisions know under this number is the one that is out.
-    pub(crate) fn is_out(&self, id: MessageId) -> bool {
-        self.place == Place::Out(id)
+impl HeldMessage {
+    /// Whether the message is in flight under this ID of the brain.
+    pub(crate) fn is_in_flight(&self, id: MessageId) -> bool {
+        self.state == MessageState::InFlight(id)
     }
 
-    /// The line goes by when runs should start.
-    fn turn(&self) -> (Micros, u8, u64) {
+    /// Sort key in the queue: the time by which the run should start, then the priority.
+    fn queue_key(&self) -> (Micros, u8, u64) {
         let Submission { due_at, schedule_target, priority, key, .. } = self.submission;
         (due_at + schedule_target, priority, key)
     }
 }
 
 #[derive(Debug, Default)]
-struct Line {
+struct ServiceQueue {
     waiting: BTreeSet<(Micros, u8, u64)>,
-    /// Before the decisions and not out.
-    handed: usize,
+    /// Number of messages offered to the brain and not in flight.
+    offered: usize,
 }
 
-/// The messages on hand.
+/// The held messages.
 #[derive(Debug, Default)]
 pub(crate) struct Messages {
-    held: HashMap<u64, Held>,
+    held: HashMap<u64, HeldMessage>,
     keys: HashMap<MessageId, u64>,
-    lines: BTreeMap<Arc<str>, Line>,
-    resting: BTreeSet<(Micros, u64)>,
-    /// Services with messages that may be handed on.
+    queues: BTreeMap<Arc<str>, ServiceQueue>,
+    delayed: BTreeSet<(Micros, u64)>,
+    /// Services whose queued messages may be offered.
     ready: BTreeSet<Arc<str>>,
-    last: u64,
+    last_id: u64,
 }
 
 impl Messages {
-    pub(crate) fn get(&self, key: u64) -> Option<&Held> {
+    pub(crate) fn get(&self, key: u64) -> Option<&HeldMessage> {
         self.held.get(&key)
     }
 
-    pub(crate) fn get_mut(&mut self, key: u64) -> Option<&mut Held> {
+    pub(crate) fn get_mut(&mut self, key: u64) -> Option<&mut HeldMessage> {
         self.held.get_mut(&key)
     }
 
@@ -82,211 +83,216 @@
         self.keys.get(&id).copied()
     }
 
-    /// Takes a message on; one that is held already stays as it is.
-    pub(crate) fn add(&mut self, submission: Submission, rest_until: Option<Micros>) {
+    /// Adds a message, unless it is already held.
+    pub(crate) fn add(&mut self, submission: Submission, delay_until: Option<Micros>) {
         let key = submission.key;
         if self.held.contains_key(&key) {
             return;
         }
-        let held = Held { submission, place: Place::InLine, silences: 0, conflicts: 0, attempts: 0 };
+        let held = HeldMessage {
+            submission,
+            state: MessageState::Queued,
+            unclear_attempts: 0,
+            conflicts: 0,
+            attempts: 0,
+        };
         self.held.insert(key, held);
-        match rest_until {
-            Some(until) => self.rest(key, until),
-            None => self.line_up(key),
+        match delay_until {
+            Some(until) => self.delay(key, until),
+            None => self.enqueue(key),
         }
     }
 
-    /// Changes what is asked of a message, and gives its number where the decisions are to forget it: they know it with what
-    /// was asked before. One that is out stays there; its line is the new one once its attempt has ended.
+    /// Replaces the submission of a message. Returns its ID if the brain must forget it, because the brain knows the former
+    /// submission. A message in flight stays in flight and enters the queue of the new service after its attempt.
     pub(crate) fn revise(&mut self, submission: Submission) -> Option<MessageId> {
         let key = submission.key;
-        let place = self.held.get(&key)?.place;
-        let is_out = matches!(place, Place::Out(_));
-        if !is_out {
-            self.leave(key);
+        let state = self.held.get(&key)?.state;
+        let is_in_flight = matches!(state, MessageState::InFlight(_));
+        if !is_in_flight {
+            self.detach(key);
         }
         let held = self.held.get_mut(&key)?;
         let due_at = held.submission.due_at;
         let former = std::mem::replace(&mut held.submission, Submission { due_at, ..submission });
         if held.submission.service != former.service {
-            (held.silences, held.conflicts) = (0, 0);
+            (held.unclear_attempts, held.conflicts) = (0, 0);
         }
-        self.drop_empty_line(&former.service);
-        match place {
-            Place::Out(_) => None,
-            Place::Resting { until } => {
-                self.rest(key, until);
+        self.drop_empty_queue(&former.service);
+        match state {
+            MessageState::InFlight(_) => None,
+            MessageState::Delayed { until } => {
+                self.delay(key, until);
                 None
             }
-            Place::InLine => {
-                self.line_up(key);
+            MessageState::Queued => {
+                self.enqueue(key);
                 None
             }
-            Place::Handed(id) => {
-                self.line_up(key);
+            MessageState::Offered(id) => {
+                self.enqueue(key);
                 Some(id)
             }
         }
     }
 
-    /// Puts a message whose attempt is over at its place in the line of its service.
-    pub(crate) fn return_to_line(&mut self, key: u64) {
-        self.leave(key);
-        self.line_up(key);
+    /// Puts a message whose attempt has ended back in the queue of its service.
+    pub(crate) fn requeue(&mut self, key: u64) {
+        self.detach(key);
+        self.enqueue(key);
     }
 
-    /// Services that messages are on hand for.
+    /// Services with queues of messages.
     pub(crate) fn services(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.lines.keys()
+        self.queues.keys()
     }
 
-    /// Puts what is before the decisions of these services back in line, and gives the numbers that the decisions are to
-    /// forget.
-    pub(crate) fn take_back(&mut self, services: &BTreeSet<Arc<str>>) -> BTreeSet<MessageId> {
-        let handed = self.held.iter().filter_map(|(key, held)| match held.place {
-            Place::Handed(id) if services.contains(&held.submission.service) => Some((id, *key)),
+    /// Puts the offered messages of these services back in their queues, and returns the IDs that the brain must forget.
+    pub(crate) fn requeue_offered(&mut self, services: &BTreeSet<Arc<str>>) -> BTreeSet<MessageId> {
+        let offered = self.held.iter().filter_map(|(key, held)| match held.state {
+            MessageState::Offered(id) if services.contains(&held.submission.service) => Some((id, *key)),
             _ => None,
         });
-        let handed: BTreeMap<MessageId, u64> = handed.collect();
-        for key in handed.values() {
-            self.return_to_line(*key);
+        let offered: BTreeMap<MessageId, u64> = offered.collect();
+        for key in offered.values() {
+            self.requeue(*key);
         }
-        handed.into_keys().collect()
+        offered.into_keys().collect()
     }
 
-    fn drop_empty_line(&mut self, service: &Arc<str>) {
-        if self.lines.get(service).is_some_and(|line| line.waiting.is_empty() && line.handed == 0) {
-            self.lines.remove(service);
+    fn drop_empty_queue(&mut self, service: &Arc<str>) {
+        if self.queues.get(service).is_some_and(|queue| queue.waiting.is_empty() && queue.offered == 0) {
+            self.queues.remove(service);
             self.ready.remove(service);
         }
     }
 
-    /// Messages of a service that could start now.
+    /// Number of messages of a service that could start now.
     pub(crate) fn demand(&self, service: &str) -> usize {
-        self.lines.get(service).map_or(0, |line| line.waiting.len() + line.handed)
+        self.queues.get(service).map_or(0, |queue| queue.waiting.len() + queue.offered)
     }
 
-    fn line_up(&mut self, key: u64) {
+    fn enqueue(&mut self, key: u64) {
         let Some(held) = self.held.get_mut(&key) else { return };
-        held.place = Place::InLine;
+        held.state = MessageState::Queued;
         let service = &held.submission.service;
-        self.lines.entry(service.clone()).or_default().waiting.insert(held.turn());
+        self.queues.entry(service.clone()).or_default().waiting.insert(held.queue_key());
         self.ready.insert(service.clone());
     }
 
-    /// Takes a message out of wherever it stands.
-    fn leave(&mut self, key: u64) -> Option<Place> {
+    /// Removes a message from the collection of its current state.
+    fn detach(&mut self, key: u64) -> Option<MessageState> {
         let held = self.held.get(&key)?;
-        let (place, turn) = (held.place, held.turn());
-        let line = self.lines.get_mut(&held.submission.service);
-        match place {
-            Place::InLine => {
-                if let Some(line) = line {
-                    line.waiting.remove(&turn);
+        let (state, queue_key) = (held.state, held.queue_key());
+        let queue = self.queues.get_mut(&held.submission.service);
+        match state {
+            MessageState::Queued => {
+                if let Some(queue) = queue {
+                    queue.waiting.remove(&queue_key);
                 }
             }
-            Place::Handed(id) => {
-                if let Some(line) = line {
-                    line.handed -= 1;
+            MessageState::Offered(id) => {
+                if let Some(queue) = queue {
+                    queue.offered -= 1;
                 }
                 self.ready.insert(held.submission.service.clone());
                 self.keys.remove(&id);
             }
-            Place::Out(id) => {
+            MessageState::InFlight(id) => {
                 self.keys.remove(&id);
             }
-            Place::Resting { until } => {
-                self.resting.remove(&(until, key));
+            MessageState::Delayed { until } => {
+                self.delayed.remove(&(until, key));
             }
         }
-        Some(place)
+        Some(state)
     }
 
-    /// Has a message rest until then.
-    pub(crate) fn rest(&mut self, key: u64, until: Micros) {
-        self.leave(key);
+    /// Delays a message until `until`.
+    pub(crate) fn delay(&mut self, key: u64, until: Micros) {
+        self.detach(key);
         if let Some(held) = self.held.get_mut(&key) {
-            held.place = Place::Resting { until };
-            self.resting.insert((until, key));
+            held.state = MessageState::Delayed { until };
+            self.delayed.insert((until, key));
         }
     }
 
-    /// Forgets a message; gives its number where the decisions know it.
+    /// Removes a message. Returns its ID if the brain knows it.
     pub(crate) fn remove(&mut self, key: u64) -> Option<MessageId> {
-        let place = self.leave(key)?;
+        let state = self.detach(key)?;
         let held = self.held.remove(&key)?;
-        self.drop_empty_line(&held.submission.service);
-        match place {
-            Place::Handed(id) | Place::Out(id) => Some(id),
-            Place::InLine | Place::Resting { .. } => None,
+        self.drop_empty_queue(&held.submission.service);
+        match state {
+            MessageState::Offered(id) | MessageState::InFlight(id) => Some(id),
+            MessageState::Queued | MessageState::Delayed { .. } => None,
         }
     }
 
-    /// Lines up what has rested.
-    pub(crate) fn wake(&mut self, now: Micros) {
-        while let Some((_, key)) = self.resting.first().copied().filter(|(until, _)| *until <= now) {
-            self.leave(key);
-            self.line_up(key);
+    /// Queues the messages whose delay has ended.
+    pub(crate) fn enqueue_due(&mut self, now: Micros) {
+        while let Some((_, key)) = self.delayed.first().copied().filter(|(until, _)| *until <= now) {
+            self.detach(key);
+            self.enqueue(key);
         }
     }
 
-    /// The messages that are handed to the decisions now, the first of each line.
-    pub(crate) fn hand_on(&mut self) -> Vec<(MessageId, u64)> {
-        let mut handed = Vec::new();
+    /// Offers the first messages of each queue, and returns them.
+    pub(crate) fn offer_next(&mut self) -> Vec<(MessageId, u64)> {
+        let mut offered = Vec::new();
         for service in std::mem::take(&mut self.ready) {
-            let Some(line) = self.lines.get_mut(&service) else { continue };
-            while line.handed < WINDOW
-                && let Some((_, _, key)) = line.waiting.pop_first()
+            let Some(queue) = self.queues.get_mut(&service) else { continue };
+            while queue.offered < MAX_OFFERED_PER_SERVICE
+                && let Some((_, _, key)) = queue.waiting.pop_first()
             {
-                self.last += 1;
-                let id = MessageId(self.last);
-                line.handed += 1;
+                self.last_id += 1;
+                let id = MessageId(self.last_id);
+                queue.offered += 1;
                 self.keys.insert(id, key);
                 if let Some(held) = self.held.get_mut(&key) {
-                    (held.place, held.attempts) = (Place::Handed(id), 0);
+                    (held.state, held.attempts) = (MessageState::Offered(id), 0);
                 }
-                handed.push((id, key));
+                offered.push((id, key));
             }
         }
-        handed
+        offered
     }
 
-    /// The decisions' number of the next attempt of a message.
-    pub(crate) fn next_number(&mut self, key: u64) -> u32 {
+    /// The number of the next attempt of a message, as the brain counts attempts.
+    pub(crate) fn next_attempt_number(&mut self, key: u64) -> u32 {
         let Some(held) = self.held.get_mut(&key) else { return 0 };
         held.attempts += 1;
         held.attempts - 1
     }
 
-    /// Messages on hand, and those with an attempt out.
+    /// Number of held messages.
     pub(crate) fn len(&self) -> usize {
         self.held.len()
     }
 
-    pub(crate) fn out(&self) -> usize {
-        self.held.values().filter(|held| matches!(held.place, Place::Out(_))).count()
+    pub(crate) fn in_flight(&self) -> usize {
+        self.held.values().filter(|held| matches!(held.state, MessageState::InFlight(_))).count()
     }
 
-    /// Books that an attempt of a message is out, or no longer is while the decisions keep the message.
-    pub(crate) fn set_out(&mut self, key: u64, out: bool) {
+    /// Marks a message as in flight, or as offered if its attempt has ended and the brain keeps the message.
+    pub(crate) fn set_in_flight(&mut self, key: u64, in_flight: bool) {
         let Some(held) = self.held.get_mut(&key) else { return };
-        let line = self.lines.entry(held.submission.service.clone()).or_default();
-        match (held.place, out) {
-            (Place::Handed(id), true) => {
-                held.place = Place::Out(id);
-                line.handed -= 1;
+        let queue = self.queues.entry(held.submission.service.clone()).or_default();
+        match (held.state, in_flight) {
+            (MessageState::Offered(id), true) => {
+                held.state = MessageState::InFlight(id);
+                queue.offered -= 1;
                 self.ready.insert(held.submission.service.clone());
             }
-            (Place::Out(id), false) => {
-                held.place = Place::Handed(id);
-                line.handed += 1;
+            (MessageState::InFlight(id), false) => {
+                held.state = MessageState::Offered(id);
+                queue.offered += 1;
             }
             _ => {}
         }
     }
 
-    /// When a rest ends.
+    /// When the next delay ends.
     pub(crate) fn next_at(&self) -> Option<Micros> {
-        self.resting.first().map(|(until, _)| *until)
+        self.delayed.first().map(|(until, _)| *until)
     }
 }
--- a/crates/delivery/src/numbering.rs
+++ b/crates/delivery/src/numbering.rs
@@ -1,4 +1,4 @@
-//! Numbers that all relays give to the same services and hosts, as the decisions' messages to peers name them so.
+//! Numbers of services and hosts that are equal at all relays, as the brain's memos to peers refer to them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::interface::{Instance, ServiceConfig};
 
-/// Bits of a service's number, as many as a message to a peer carries.
+/// Bits of a service's number, as many as a memo to a peer has.
 const DESTINATION_BITS: u32 = 28;
 const HOST_SEED: u64 = 0x686f_7374;
 const STATIC_SEED: u64 = 0x7374_6174;
@@ -17,33 +17,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ServiceNumber {
     pub(crate) destination: DestinationId,
-    /// How many numbers of its name other services have.
-    draw: u64,
+    /// Number of earlier hash attempts that collided with other services.
+    collisions: u64,
 }
 
 impl ServiceNumber {
-    /// The first number of a service that none of the others has.
+    /// The first hash of the service name that no other service uses.
     pub(crate) fn of(service: &str, others: &BTreeMap<DestinationId, Arc<str>>) -> Self {
-        let mut draw = 0;
+        let mut collisions = 0;
         loop {
             let destination =
-                (hash(service.as_bytes(), draw) >> (u64::BITS - DESTINATION_BITS)) as DestinationId;
+                (hash(service.as_bytes(), collisions) >> (u64::BITS - DESTINATION_BITS)) as DestinationId;
             if !others.contains_key(&destination) {
-                return ServiceNumber { destination, draw };
+                return ServiceNumber { destination, collisions };
             }
-            draw += 1;
+            collisions += 1;
         }
     }
 
-    /// The number of a listed host of the service, by its incarnation. It is another one with another number of the service.
+    /// The number of a listed host of the service, by its instance ID. It changes with the number of the service.
     pub(crate) fn listed_host(self, instance: &Instance) -> HostId {
-        HostId(hash(instance.id.as_bytes(), HOST_SEED.wrapping_add(self.draw)))
+        HostId(hash(instance.id.as_bytes(), HOST_SEED.wrapping_add(self.collisions)))
     }
 
-    /// The number of the only endpoint of the service.
+    /// The number of the service's static endpoint.
     pub(crate) fn static_host(self, service: &ServiceConfig) -> Option<HostId> {
         let address = service.static_address?.to_string();
-        let seed = hash(service.name.as_bytes(), STATIC_SEED.wrapping_add(self.draw));
+        let seed = hash(service.name.as_bytes(), STATIC_SEED.wrapping_add(self.collisions));
         Some(HostId(hash(address.as_bytes(), seed)))
     }
 }
--- a/crates/delivery/src/peers.rs
+++ b/crates/delivery/src/peers.rs
@@ -1,4 +1,4 @@
-//! What relays tell each other about deliveries, and the decisions' numbers of relays.
+//! Messages between relays about deliveries, and the brain's numbers of relays.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 
 use crate::interface::Effect;
 
-/// What a relay tells another one.
+/// A message from one relay to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// Messages of the decisions.
+    /// Memos of the brain.
     Decisions(Vec<Bytes>),
-    /// The same for all relays, from `root`; passed on by each to its part of them.
+    /// Memos of the brain of `root` for all relays. Each relay forwards them to its children in the tree.
     Spread {
         root: NodeName,
         memos: Vec<Bytes>,
@@ -24,21 +24,21 @@
     Permits(PermitMessage),
 }
 
-/// The live relays, and what is about to be told to them.
+/// The live relays, and the memos that are queued for them.
 #[derive(Debug)]
 pub(crate) struct Peers {
     me: NodeName,
-    /// Sorted; this relay is among them.
+    /// All live relays including this one, sorted.
     relays: Vec<NodeName>,
     memos: BTreeMap<u16, Vec<Bytes>>,
-    spread: Vec<Bytes>,
+    broadcast: Vec<Bytes>,
     effects: Vec<Effect>,
 }
 
 impl Peers {
     pub(crate) fn new(me: NodeName) -> Self {
         let relays = vec![me.clone()];
-        Peers { me, relays, memos: BTreeMap::new(), spread: Vec::new(), effects: Vec::new() }
+        Peers { me, relays, memos: BTreeMap::new(), broadcast: Vec::new(), effects: Vec::new() }
     }
 
     pub(crate) fn set_relays(&mut self, mut relays: Vec<NodeName>) {
@@ -53,16 +53,16 @@
         &self.relays
     }
 
-    /// The decisions' number of a relay.
+    /// The brain's number of a relay.
     pub(crate) fn rank(&self, name: &NodeName) -> Option<u16> {
         self.relays.binary_search(name).ok().and_then(|rank| u16::try_from(rank).ok())
     }
 
-    /// Has the decisions' word told to one relay, or to all.
-    pub(crate) fn tell(&mut self, to: Option<u16>, bytes: Vec<u8>) {
+    /// Queues a memo of the brain for one relay, or for all relays.
+    pub(crate) fn queue_memo(&mut self, to: Option<u16>, bytes: Vec<u8>) {
         match to {
             Some(to) => self.memos.entry(to).or_default().push(Bytes::from(bytes)),
-            None => self.spread.push(Bytes::from(bytes)),
+            None => self.broadcast.push(Bytes::from(bytes)),
         }
     }
 
@@ -72,23 +72,23 @@
         }
     }
 
-    /// Passes on what another relay tells all.
-    pub(crate) fn pass_on(&mut self, root: &NodeName, message: &PeerMessage) {
-        let next: Vec<_> = children(&self.relays, root, &self.me).cloned().collect();
-        next.into_iter().for_each(|to| self.send(to, message));
+    /// Forwards a broadcast message to the children of this relay in the tree.
+    pub(crate) fn forward(&mut self, root: &NodeName, message: &PeerMessage) {
+        let next_relays: Vec<_> = children(&self.relays, root, &self.me).cloned().collect();
+        next_relays.into_iter().for_each(|to| self.send(to, message));
     }
 
-    /// All that is to be told now, with one message for each receiver and kind.
+    /// The queued messages, combined into one message per receiver and kind.
     pub(crate) fn flush(&mut self) -> Vec<Effect> {
         for (to, memos) in std::mem::take(&mut self.memos) {
             if let Some(to) = self.relays.get(usize::from(to)).cloned() {
                 self.send(to, &PeerMessage::Decisions(memos));
             }
         }
-        if !self.spread.is_empty() {
-            let (root, memos) = (self.me.clone(), std::mem::take(&mut self.spread));
+        if !self.broadcast.is_empty() {
+            let (root, memos) = (self.me.clone(), std::mem::take(&mut self.broadcast));
             let message = PeerMessage::Spread { root: root.clone(), memos };
-            self.pass_on(&root, &message);
+            self.forward(&root, &message);
         }
         std::mem::take(&mut self.effects)
     }
--- a/crates/delivery/src/services.rs
+++ b/crates/delivery/src/services.rs
@@ -9,10 +9,10 @@
 use crate::interface::ServiceConfig;
 use crate::numbering::ServiceNumber;
 
-/// The path that hosts are checked at where a service does not say.
+/// Health check path of services that configure none.
 const DEFAULT_HEALTH_PATH: &str = "/health";
-/// Calls a second that stand for no limit.
-const UNLIMITED: f64 = 10_000.0;
+/// Rate in calls per second that stands for no limit.
+const UNLIMITED_RATE: f64 = 10_000.0;
 
 /// The services of the configuration in force.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
         self.by_name = services.into_iter().map(|service| (service.name.clone(), service)).collect();
         self.numbers.clear();
         self.names.clear();
-        // In the order of their names, so that all relays with this configuration give the same numbers.
+        // Numbers are assigned in name order, so that all relays with this configuration assign the same numbers.
         for name in self.by_name.keys() {
             let number = ServiceNumber::of(name, &self.names);
             self.names.insert(number.destination, name.clone());
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The number of a service. One that the configuration does not have gets a number that no other one has.
+    /// The number of a service. A service that is not configured gets a number that no configured service has.
     pub(crate) fn number(&self, name: &str) -> ServiceNumber {
         self.numbers.get(name).copied().unwrap_or_else(|| ServiceNumber::of(name, &self.names))
     }
@@ -54,7 +54,7 @@
 }
 
 impl ServiceConfig {
-    /// A service of a configuration.
+    /// Converts a service of the configuration.
     pub fn of(service: &Service) -> Self {
         ServiceConfig {
             name: service.name.clone(),
@@ -70,8 +70,8 @@
         self.rate_per_s > 0.0
     }
 
-    /// What the decisions take for the rate of the service.
+    /// The rate of the service as passed to the brain.
     pub(crate) fn weight(&self) -> f64 {
-        if self.is_limited() { self.rate_per_s } else { UNLIMITED }
+        if self.is_limited() { self.rate_per_s } else { UNLIMITED_RATE }
     }
 }
--- a/crates/delivery/src/settings.rs
+++ b/crates/delivery/src/settings.rs
@@ -1,60 +1,60 @@
-//! What the machine is told at its start, and what the decisions are told.
+//! Settings of the delivery state machine and of the brain.
 
 use pewterseam::interface::{Class, Effect, Kind, Lateness, Listing, Settings};
 use pewterseam_wire::Micros;
 use pewterseam_wire::identity::NodeName;
 
-/// Messages are worth something to the decisions for so long after their aim; longer than any retention.
-const WORTH_ENDS: Micros = 3_600_000_000;
-/// Half of the worth is left once a message is late by its aim again; never less than this part.
-const LATE_SHARE: f64 = 0.02;
-/// An aim of 0 would make every message equally late.
-const LEAST_AIM: Micros = 10_000;
-/// The decisions never turn a message away for lack of room: how many they hold is bounded before.
+/// Time after their aim for which messages have value to the brain. Longer than any retention.
+const VALUE_DURATION: Micros = 3_600_000_000;
+/// Minimum fraction of the value of a late message. The value halves each time the message is late by its aim again.
+const MIN_LATE_VALUE: f64 = 0.02;
+/// Minimum aim, as all messages with an aim of 0 would be equally late.
+const MIN_AIM: Micros = 10_000;
+/// The brain never rejects a message for lack of space, because the number of offered messages is limited.
 const NO_LIMIT: usize = 1 << 30;
-/// Troubles of a host less than this apart are one.
-const TROUBLE_APART: Micros = 10_000_000;
-/// Classes that are told apart; a class beyond is taken for the last one.
-const MOST_CLASSES: usize = 1024;
+/// Overload events of a host within this time count as one.
+const OVERLOAD_WINDOW: Micros = 10_000_000;
+/// Maximum number of classes. Further classes are treated as the last one.
+const MAX_CLASSES: usize = 1024;
 
-/// What the machine is told at its start.
+/// Settings of the delivery state machine.
 #[derive(Clone, Debug)]
 pub struct DeliverySettings {
     pub me: NodeName,
-    /// The life of this process.
+    /// The generation of this process.
     pub life: u64,
-    /// Differs between processes.
+    /// Random seed, which differs between processes.
     pub seed: u64,
-    /// Calls that may be out at once.
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// A connection that takes longer to open counts as failed.
+    /// Timeout for opening a connection.
     pub connect_timeout: Micros,
-    /// How long a connection idles before its host closes it, as far as that is known beforehand.
+    /// Initial assumption of the time after which hosts close an idle connection.
     pub idle_close: Micros,
     /// `originWindowS` and `originOvershoot`.
     pub origin_window: Micros,
     pub origin_overshoot: f64,
-    /// No process of the system ran before.
+    /// Whether no process of the system ran before.
     pub bootstrap: bool,
-    /// The longest time for which a relay that was cut off may hold the core's word.
+    /// The longest time for which a partitioned relay may still hold its lease from the core.
     pub core_lease: Micros,
-    /// The core agrees on the relays that may hand out permits ([`crate::Input::AgreedHomes`]).
+    /// Whether the core agrees on the relays that may grant permits ([`crate::Input::AgreedHomes`]).
     pub homes_are_agreed: bool,
 }
 
-/// A kind of message to the decisions: its aim and its priority.
+/// Key of a message class of the brain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ClassKey {
     aim: Micros,
     priority: u8,
 }
 
-/// The settings of the decisions as they stand; classes are only added.
+/// The current settings of the brain. Classes are only added.
 #[derive(Debug)]
 pub(crate) struct BrainSettings {
     keys: Vec<ClassKey>,
     pub(crate) current: Settings,
-    /// They have changed since the decisions were last told.
+    /// Whether the settings changed since they were last passed to the brain.
     pub(crate) changed: bool,
 }
 
@@ -80,22 +80,22 @@
             ask_registry: false,
             ask_within: 0,
             drain_grace: 0,
-            // A host that is slow at first does not fall over: no ramp.
+            // A host that is slow after its start does not fail, so there is no ramp-up.
             cold_share: 1.0,
             cold_time: 1,
             overload_factor: 1.0,
-            overload_window: TROUBLE_APART,
+            overload_window: OVERLOAD_WINDOW,
             order_rest: 0,
         };
         BrainSettings { keys: Vec::new(), current, changed: false }
     }
 
-    /// The class of a message, and the deadline that has its worth fall from `due_at` on. Danger: a message of which the
-    /// decisions have given up is given up again at once; it counts as new then.
+    /// The class of a message, and the deadline from which its value falls. A message that has lost its value counts as due
+    /// now; otherwise the brain would give it up again at once.
     pub(crate) fn class(
         &mut self, aim: Micros, priority: u8, due_at: Micros, now: Micros,
     ) -> (usize, Micros) {
-        let key = ClassKey { aim: aim.max(LEAST_AIM), priority };
+        let key = ClassKey { aim: aim.max(MIN_AIM), priority };
         let found = self.keys.iter().position(|known| *known == key);
         let index = found.unwrap_or_else(|| self.add(key));
         let class = &self.current.classes[index];
@@ -104,24 +104,24 @@
     }
 
     fn add(&mut self, key: ClassKey) -> usize {
-        if self.keys.len() >= MOST_CLASSES {
+        if self.keys.len() >= MAX_CLASSES {
             return self.keys.len() - 1;
         }
         self.keys.push(key);
         self.current.classes.push(Class {
             effect: Effect::Free,
             value: 1.0 / (1.0 + f64::from(key.priority)),
-            late_share: LATE_SHARE,
+            late_share: MIN_LATE_VALUE,
             aim: key.aim,
-            deadline: key.aim + WORTH_ENDS,
+            deadline: key.aim + VALUE_DURATION,
             in_order: false,
         });
         self.changed = true;
         self.keys.len() - 1
     }
 
-    /// This relay's rank among so many live ones.
-    pub(crate) fn rank(&mut self, me: u16, senders: u16) {
+    /// Sets this relay's rank and the number of live relays.
+    pub(crate) fn set_rank(&mut self, me: u16, senders: u16) {
         self.changed |= (self.current.me, self.current.senders) != (me, senders);
         (self.current.me, self.current.senders) = (me, senders);
     }
--- a/crates/delivery/tests/revisions.rs
+++ b/crates/delivery/tests/revisions.rs
@@ -1,4 +1,4 @@
-//! Messages whose submission changes while they are held: they go by the new one, and nothing that ran is forgotten.
+//! Messages whose submission is revised while they are held. They follow the new one, and results of earlier attempts count.
 
 mod world;
 
@@ -8,34 +8,37 @@
 
 const SERVE: Behaviour = Behaviour::Serve { took: 20 * MILLISECOND };
 const FORMER: u16 = 1;
-const PRESENT: u16 = 2;
+const CURRENT: u16 = 2;
 
-fn fixed(name: &str, port: u16) -> ServiceConfig {
+fn static_service(name: &str, port: u16) -> ServiceConfig {
     ServiceConfig { static_address: Some(address(port)), ..service(name) }
 }
 
-fn two_services(former: Behaviour, present: Behaviour) -> World {
+fn two_services(former: Behaviour, current: Behaviour) -> World {
     let mut world = World::new(1, 100);
     world.static_host(FORMER, former);
-    world.static_host(PRESENT, present);
-    world.tell_all(&Input::Services(vec![fixed("former", FORMER), fixed("present", PRESENT)]));
+    world.static_host(CURRENT, current);
+    world.send_to_all(&Input::Services(vec![
+        static_service("former", FORMER),
+        static_service("present", CURRENT),
+    ]));
     world
 }
 
 fn revise(world: &mut World, keys: std::ops::Range<u64>, service: &str) {
     let now = world.now;
     let inputs = keys.map(|key| Input::Revise(submission(key, service, now))).collect();
-    world.tell_many(0, inputs);
+    world.send_inputs(0, inputs);
 }
 
 fn is_completed(world: &World, key: u64) -> bool {
     matches!(world.relays[0].finished.get(&key), Some((_, Outcome::Completed { .. })))
 }
 
-/// Guards CONFIG: messages of a service without hosts that were submitted before a change, whether they wait in line,
-/// are before the decisions or rest after attempts.
+/// Guards against messages that stay with the former service after a revision while its host is down, whether they are
+/// queued, offered to the brain or delayed after attempts.
 #[test]
-fn messages_that_wait_for_a_host_go_to_the_new_service() {
+fn waiting_messages_go_to_the_new_service() {
     for down_for in [0, 30 * MILLISECOND, 3 * SECOND] {
         let mut world = two_services(Behaviour::Down, SERVE);
         let now = world.now;
@@ -52,9 +55,9 @@
     }
 }
 
-/// Guards TWICE: an attempt that is out is not forgotten.
+/// Guards against a message that runs twice (rule TWICE) because a revision drops the result of its attempt in flight.
 #[test]
-fn the_success_of_an_attempt_that_is_out_counts() {
+fn the_success_of_an_attempt_in_flight_counts() {
     let slow = Behaviour::Serve { took: 200 * MILLISECOND };
     let mut world = two_services(slow, SERVE);
     let now = world.now;
@@ -68,9 +71,9 @@
     assert_eq!(world.relays[0].machine.load(), (0, 0));
 }
 
-/// Guards CONFIG: what follows an attempt that was out goes by the change.
+/// Guards against a retry at the former service after an attempt that was in flight during the revision.
 #[test]
-fn the_attempt_after_one_that_is_out_goes_to_the_new_service() {
+fn the_retry_after_an_attempt_in_flight_goes_to_the_new_service() {
     let mut world = two_services(Behaviour::Hang, SERVE);
     let now = world.now;
     world.submit(0, [submission(1, "former", now)]);
@@ -82,9 +85,9 @@
     assert_eq!(world.relays[0].machine.load(), (0, 0));
 }
 
-/// Guards CONFIG: an attempt whose connection is still opening is not written.
+/// Guards against a request to the former service whose connection was still opening during the revision.
 #[test]
-fn an_attempt_that_is_connecting_is_not_made() {
+fn an_attempt_whose_connection_is_opening_is_withheld() {
     let mut world = two_services(SERVE, SERVE);
     let now = world.now;
     world.submit(0, [submission(1, "former", now)]);
@@ -95,67 +98,67 @@
     assert!(is_completed(&world, 1));
 }
 
-/// A change of what is held, or time that passes.
+/// A change of the held messages or of the former host, or a time span.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A message that was not there before.
+    /// Submits a new message.
     Submit {
-        is_present: bool,
+        is_current: bool,
     },
-    /// One of the last messages.
+    /// Revises one of the latest messages.
     Revise {
         back: u64,
-        is_present: bool,
+        is_current: bool,
     },
     Withdraw {
         back: u64,
     },
-    Former(Behaviour),
+    SetFormerHost(Behaviour),
     Run {
         milliseconds: u64,
     },
 }
 
 fn step(draw: u16) -> Step {
-    let (back, is_present) = (u64::from(draw / 16 % 24), (draw / 512).is_multiple_of(2));
+    let (back, is_current) = (u64::from(draw / 16 % 24), (draw / 512).is_multiple_of(2));
     match draw % 16 {
-        0..=4 => Step::Submit { is_present },
-        5..=8 => Step::Revise { back, is_present },
+        0..=4 => Step::Submit { is_current },
+        5..=8 => Step::Revise { back, is_current },
         9 => Step::Withdraw { back },
-        10 => Step::Former(Behaviour::Down),
-        11 => Step::Former(Behaviour::Hang),
-        12 => Step::Former(Behaviour::Break),
-        13 => Step::Former(SERVE),
+        10 => Step::SetFormerHost(Behaviour::Down),
+        11 => Step::SetFormerHost(Behaviour::Hang),
+        12 => Step::SetFormerHost(Behaviour::Break),
+        13 => Step::SetFormerHost(SERVE),
         _ => Step::Run { milliseconds: u64::from(draw / 16) % 900 },
     }
 }
 
-fn service_of(is_present: bool) -> &'static str {
-    if is_present { "present" } else { "former" }
+fn service_of(is_current: bool) -> &'static str {
+    if is_current { "present" } else { "former" }
 }
 
-fn changes_lose_nothing(draws: Vec<u16>) -> bool {
+fn revisions_lose_nothing(draws: Vec<u16>) -> bool {
     let mut world = two_services(SERVE, SERVE);
     let (mut held, mut last) = (std::collections::BTreeSet::new(), 0);
     for draw in draws {
         let now = world.now;
         match step(draw) {
-            Step::Submit { is_present } => {
+            Step::Submit { is_current } => {
                 last += 1;
                 held.insert(last);
-                world.submit(0, [submission(last, service_of(is_present), now)]);
+                world.submit(0, [submission(last, service_of(is_current), now)]);
             }
-            Step::Revise { back, is_present } => {
+            Step::Revise { back, is_current } => {
                 let key = last.saturating_sub(back);
-                let changed = Submission { priority: 3, ..submission(key, service_of(is_present), now) };
-                world.tell(0, Input::Revise(changed));
+                let changed = Submission { priority: 3, ..submission(key, service_of(is_current), now) };
+                world.send_input(0, Input::Revise(changed));
             }
             Step::Withdraw { back } => {
                 let key = last.saturating_sub(back);
                 held.remove(&key);
-                world.tell(0, Input::Withdraw { key });
+                world.send_input(0, Input::Withdraw { key });
             }
-            Step::Former(behaviour) => world.static_host(FORMER, behaviour),
+            Step::SetFormerHost(behaviour) => world.static_host(FORMER, behaviour),
             Step::Run { milliseconds } => world.run(milliseconds * MILLISECOND),
         }
         held.retain(|key| !world.relays[0].finished.contains_key(key));
@@ -166,9 +169,9 @@
     held.is_empty() && world.relays[0].machine.load() == (0, 0)
 }
 
-/// Guards against messages that are lost between two services, and slots that are.
+/// Guards against messages and slots that are lost when messages move between services.
 #[test]
-fn changes_at_any_moment_lose_nothing() {
-    let property = changes_lose_nothing as fn(Vec<u16>) -> bool;
+fn revisions_at_any_time_lose_nothing() {
+    let property = revisions_lose_nothing as fn(Vec<u16>) -> bool;
     QuickCheck::new().rng(Gen::new(60)).tests(300).quickcheck(property);
 }
--- a/crates/delivery/tests/spread.rs
+++ b/crates/delivery/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How messages of many relays spread over hosts with few slots.
+//! Distribution of messages from many relays over hosts with few slots.
 
 mod world;
 
@@ -7,17 +7,17 @@
 use pewterseam_delivery::Input;
 use world::{Behaviour, MILLISECOND, SECOND, World, instance, service, submission};
 
-const TOOK: u64 = 200 * MILLISECOND;
+const PROCESSING_TIME: u64 = 200 * MILLISECOND;
 
-/// Relays that send at a part of what the hosts can do, each message from a relay by chance.
-fn loaded(relays: usize, hosts: usize, slots: usize, load: f64) -> World {
+/// Runs relays at a fraction of the capacity of the hosts. Each message is submitted to a random relay.
+fn run_with_load(relays: usize, hosts: usize, slots: usize, load: f64) -> World {
     let mut world = World::new(relays, 400);
     let listed = |number: usize| instance(&format!("i-{number}"), "mail", number as u16 + 1, slots as u32);
     let list: Vec<_> = (0..hosts).map(listed).collect();
-    list.iter().for_each(|listed| world.host(listed, Behaviour::Slots { took: TOOK, slots }));
-    world.tell_all(&Input::Services(vec![service("mail")]));
-    world.tell_all(&Input::Hosts(list));
-    let mean_gap = TOOK as f64 / (load * (hosts * slots) as f64);
+    list.iter().for_each(|listed| world.host(listed, Behaviour::Slots { took: PROCESSING_TIME, slots }));
+    world.send_to_all(&Input::Services(vec![service("mail")]));
+    world.send_to_all(&Input::Hosts(list));
+    let mean_gap = PROCESSING_TIME as f64 / (load * (hosts * slots) as f64);
     let (end, mut random, mut key) = (world.now + 20 * SECOND, 12_345u64, 0);
     while world.now < end {
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -32,29 +32,35 @@
     world
 }
 
-/// Guards against hosts that stay busier than others for good, where messages wait for a slot or are turned away while
-/// other hosts have slots free.
+/// Guards against hosts that stay busier than others, so that messages wait for a slot or are rejected while other hosts
+/// have free slots.
 #[test]
 fn hosts_are_used_evenly_by_many_relays() {
     for (relays, hosts, slots, load) in [(30, 12, 4, 0.6), (30, 12, 4, 0.8), (60, 20, 6, 0.7), (7, 5, 9, 0.7)]
     {
-        let world = loaded(relays, hosts, slots, load);
+        let world = run_with_load(relays, hosts, slots, load);
         let mut counts = BTreeMap::<_, usize>::new();
         world.arrivals.iter().for_each(|arrival| *counts.entry(arrival.address).or_default() += 1);
-        let (least, most) = (counts.values().min().copied(), counts.values().max().copied());
-        let (least, most) = (least.unwrap_or(0) as f64, most.unwrap_or(0) as f64);
-        assert!(counts.len() == hosts && most < 1.3 * least, "{relays}, {hosts}x{slots}: {least} to {most}");
+        let (min, max) = (counts.values().min().copied(), counts.values().max().copied());
+        let (min, max) = (min.unwrap_or(0) as f64, max.unwrap_or(0) as f64);
+        assert!(
+            counts.len() == hosts && max < 1.3 * min,
+            "{relays}, {hosts}x{slots}: {min} to {max} messages per host"
+        );
         let mut delays = world.start_delays.clone();
         delays.sort_unstable();
-        let late = delays[delays.len() * 99 / 100];
-        assert!(late < 150 * MILLISECOND, "{relays}, {hosts}x{slots}, load {load}: {late} us for a slot");
+        let p99_delay = delays[delays.len() * 99 / 100];
+        assert!(
+            p99_delay < 150 * MILLISECOND,
+            "{relays}, {hosts}x{slots}, load {load}: waited {p99_delay} us for a slot"
+        );
     }
 }
 
-/// Guards against connections to all hosts from relays that send little: each new one has its price, and idle ones close.
+/// Guards against relays with low demand that connect to all hosts. New connections are expensive, and idle ones close.
 #[test]
-fn a_relay_that_sends_little_uses_few_hosts() {
-    let world = loaded(60, 40, 4, 0.05);
+fn a_relay_with_low_demand_uses_few_hosts() {
+    let world = run_with_load(60, 40, 4, 0.05);
     for relay in 0..60 {
         let of_relay = world.arrivals.iter().filter(|arrival| arrival.relay == relay);
         let used: BTreeSet<_> = of_relay.map(|arrival| arrival.address).collect();
--- a/crates/delivery/tests/world/mod.rs
+++ b/crates/delivery/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Relays with the real machine, and simulated hosts, on one clock.
+//! Relays with the real delivery state machine, and simulated hosts, on one simulated clock.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, HashMap};
@@ -14,9 +14,9 @@
 
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// Time from a relay to a host, and between relays.
-const WAY: Micros = MILLISECOND;
-const OPENING: Micros = 2 * MILLISECOND;
+/// Network delay from a relay to a host, and between relays.
+const NETWORK_DELAY: Micros = MILLISECOND;
+const OPENING_TIME: Micros = 2 * MILLISECOND;
 
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,11 +26,11 @@
     },
     /// 500 for keys that are divisible by this, success for others.
     FailMultiplesOf(u64),
-    /// 429 with `X-Not-Executed` beyond this number in a second.
+    /// 429 with `X-Not-Executed` beyond this number per second.
     Limited {
         per_s: usize,
     },
-    /// Works on so many messages at a time, queues half as many more, and turns others away.
+    /// Processes `slots` messages at a time, queues half as many more, and rejects others.
     Slots {
         took: Micros,
         slots: usize,
@@ -48,13 +48,13 @@
 }
 
 pub struct SimulatedHost {
-    /// Ends of the work that was taken on.
+    /// End times of accepted work. With `Limited`, the times at which messages were accepted.
     pub work: Vec<Micros>,
     pub instance: Option<Arc<str>>,
     pub behaviour: Behaviour,
 }
 
-/// A request that came to a host.
+/// A request that a host received.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Micros,
@@ -62,11 +62,11 @@
     pub key: u64,
     pub service: Arc<str>,
     pub address: SocketAddr,
-    /// It was turned away since it was meant for another instance.
-    pub mistaken: bool,
+    /// The request was rejected because it was meant for another instance.
+    pub is_wrong_instance: bool,
 }
 
-enum Happening {
+enum ScheduledEvent {
     Input(usize, Input),
     Connected(usize, AttemptId),
     Arrive(usize, AttemptId),
@@ -90,9 +90,9 @@
     calls: HashMap<AttemptId, Call>,
     idle: HashMap<SocketAddr, usize>,
     wake_at: Micros,
-    /// The most attempts that were out to one host, and in all.
-    pub most_to_a_host: usize,
-    pub most_out: usize,
+    /// Maximum number of attempts in flight to one host. `max_in_flight` is the maximum to all hosts.
+    pub max_to_one_host: usize,
+    pub max_in_flight: usize,
     pub finished: BTreeMap<u64, (Micros, Outcome)>,
     /// Attempts whose answer had no effect.
     pub dropped: Vec<AttemptId>,
@@ -105,13 +105,13 @@
     pub arrivals: Vec<Arrival>,
     pub probes: Vec<(Micros, SocketAddr)>,
     pub withheld: usize,
-    /// At hosts with slots: how long messages waited there for one, and how many were turned away.
+    /// At hosts with slots: how long messages waited for a slot. `refused` counts rejected messages.
     pub start_delays: Vec<Micros>,
     pub refused: usize,
     pub aborts: usize,
-    /// New connections take so long.
+    /// Time to open a new connection.
     pub opening: Micros,
-    agenda: BTreeMap<(Micros, u64), Happening>,
+    scheduled: BTreeMap<(Micros, u64), ScheduledEvent>,
     last: u64,
 }
 
@@ -179,8 +179,8 @@
             calls: HashMap::new(),
             idle: HashMap::new(),
             wake_at: 0,
-            most_to_a_host: 0,
-            most_out: 0,
+            max_to_one_host: 0,
+            max_in_flight: 0,
             finished: BTreeMap::new(),
             dropped: Vec::new(),
         };
@@ -194,22 +194,22 @@
             start_delays: Vec::new(),
             refused: 0,
             aborts: 0,
-            opening: OPENING,
-            agenda: BTreeMap::new(),
+            opening: OPENING_TIME,
+            scheduled: BTreeMap::new(),
             last: 0,
         };
-        world.tell_all(&Input::CoreLease { until: Micros::MAX });
-        world.tell_all(&Input::Relays(names));
+        world.send_to_all(&Input::CoreLease { until: Micros::MAX });
+        world.send_to_all(&Input::Relays(names));
         world
     }
 
-    /// Adds a host and gives its line on the list.
+    /// Adds or replaces the host of a list entry.
     pub fn host(&mut self, listed: &Instance, behaviour: Behaviour) {
         let instance = Some(listed.id.clone());
         self.hosts.insert(listed.address, SimulatedHost { work: Vec::new(), instance, behaviour });
     }
 
-    /// Messages of a relay that ended as failed, taken out so that they may come again.
+    /// Removes and returns the failed messages of a relay, so that they can be submitted again.
     pub fn take_failed(&mut self, relay: usize) -> Vec<u64> {
         let finished = &mut self.relays[relay].finished;
         finished.extract_if(.., |_, (_, outcome)| *outcome == Outcome::Failed).map(|(key, _)| key).collect()
@@ -219,66 +219,68 @@
         self.hosts.insert(address(port), SimulatedHost { work: Vec::new(), instance: None, behaviour });
     }
 
-    pub fn tell_all(&mut self, input: &Input) {
+    pub fn send_to_all(&mut self, input: &Input) {
         for relay in 0..self.relays.len() {
-            self.tell(relay, input.clone());
+            self.send_input(relay, input.clone());
         }
     }
 
-    pub fn tell(&mut self, relay: usize, input: Input) {
-        self.tell_many(relay, vec![input]);
+    pub fn send_input(&mut self, relay: usize, input: Input) {
+        self.send_inputs(relay, vec![input]);
     }
 
-    pub fn tell_many(&mut self, relay: usize, inputs: Vec<Input>) {
+    pub fn send_inputs(&mut self, relay: usize, inputs: Vec<Input>) {
         let effects = self.relays[relay].machine.step(self.now, inputs);
-        effects.into_iter().for_each(|effect| self.carry_out(relay, effect));
+        effects.into_iter().for_each(|effect| self.apply_effect(relay, effect));
     }
 
-    fn at(&mut self, at: Micros, happening: Happening) {
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
         self.last += 1;
-        self.agenda.insert((at, self.last), happening);
+        self.scheduled.insert((at, self.last), event);
     }
 
     pub fn run(&mut self, span: Micros) {
         let until = self.now + span;
-        while let Some(entry) = self.agenda.first_entry().filter(|entry| entry.key().0 <= until) {
-            let ((at, _), happening) = entry.remove_entry();
+        while let Some(entry) = self.scheduled.first_entry().filter(|entry| entry.key().0 <= until) {
+            let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            self.happen(happening);
+            self.handle_event(event);
         }
         self.now = until;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Input(relay, input) => self.tell(relay, input),
-            Happening::Connected(relay, attempt) => {
+    fn handle_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Input(relay, input) => self.send_input(relay, input),
+            ScheduledEvent::Connected(relay, attempt) => {
                 if self.relays[relay].calls.contains_key(&attempt) {
-                    self.tell(relay, Input::Opened { attempt });
+                    self.send_input(relay, Input::Opened { attempt });
                 }
             }
-            Happening::Arrive(relay, attempt) => self.arrive(relay, attempt),
-            Happening::Ended(relay, attempt, end) => {
+            ScheduledEvent::Arrive(relay, attempt) => self.arrive(relay, attempt),
+            ScheduledEvent::Ended(relay, attempt, end) => {
                 if let Some(call) = self.relays[relay].calls.remove(&attempt) {
                     *self.relays[relay].idle.entry(call.target.address).or_default() += usize::from(end.kept);
-                    self.tell(relay, Input::Ended { attempt, end });
+                    self.send_input(relay, Input::Ended { attempt, end });
                 }
             }
-            Happening::Wake(relay) => {
+            ScheduledEvent::Wake(relay) => {
                 if self.relays[relay].wake_at <= self.now {
                     self.relays[relay].wake_at = Micros::MAX;
-                    self.tell(relay, Input::Tick);
+                    self.send_input(relay, Input::Tick);
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, relay: usize, effect: Effect) {
+    fn apply_effect(&mut self, relay: usize, effect: Effect) {
         match effect {
             Effect::Start { attempt, key, service, target, timeout, connect_timeout, confirm } => {
                 self.start(relay, attempt, key, service, target, timeout, connect_timeout, confirm);
             }
-            Effect::Write { attempt } => self.at(self.now + WAY, Happening::Arrive(relay, attempt)),
+            Effect::Write { attempt } => {
+                self.schedule(self.now + NETWORK_DELAY, ScheduledEvent::Arrive(relay, attempt))
+            }
             Effect::Withhold { attempt } => {
                 self.withheld += 1;
                 if let Some(call) = self.relays[relay].calls.remove(&attempt) {
@@ -291,7 +293,7 @@
             }
             Effect::Finished { key, outcome } => {
                 let before = self.relays[relay].finished.insert(key, (self.now, outcome));
-                assert!(before.is_none(), "message {key} ends twice");
+                assert!(before.is_none(), "message {key} has ended twice");
             }
             Effect::Dropped { attempt, .. } => self.relays[relay].dropped.push(attempt),
             Effect::ReportHome { .. } => {}
@@ -302,13 +304,16 @@
             Effect::Tell { to, bytes } => {
                 let from = self.relays[relay].name.clone();
                 if let Some(to) = self.relays.iter().position(|relay| relay.name == to) {
-                    self.at(self.now + WAY, Happening::Input(to, Input::Peer { from, bytes }));
+                    self.schedule(
+                        self.now + NETWORK_DELAY,
+                        ScheduledEvent::Input(to, Input::Peer { from, bytes }),
+                    );
                 }
             }
             Effect::Wake(at) => {
-                assert!(at > self.now, "a wake in the past");
+                assert!(at > self.now, "the wake-up is not in the future");
                 self.relays[relay].wake_at = at;
-                self.at(at, Happening::Wake(relay));
+                self.schedule(at, ScheduledEvent::Wake(relay));
             }
         }
     }
@@ -319,114 +324,125 @@
         timeout: Micros, connect_timeout: Micros, confirm: bool,
     ) {
         let (now, opening) = (self.now, self.opening);
-        let of = &mut self.relays[relay];
-        assert!(of.calls.values().all(|call| call.key != key), "two attempts of message {key} are out");
-        let idle = of.idle.entry(target.address).or_default();
+        let relay_state = &mut self.relays[relay];
+        assert!(
+            relay_state.calls.values().all(|call| call.key != key),
+            "two attempts of message {key} are in flight"
+        );
+        let idle = relay_state.idle.entry(target.address).or_default();
         let is_new = *idle == 0;
         *idle = idle.saturating_sub(1);
         let (to, started_at) = (target.address, now);
-        of.calls.insert(attempt, Call { key, service, target, timeout, connect_timeout, started_at, is_new });
-        of.most_out = of.most_out.max(of.calls.len());
-        of.most_to_a_host =
-            of.most_to_a_host.max(of.calls.values().filter(|call| call.target.address == to).count());
+        relay_state
+            .calls
+            .insert(attempt, Call { key, service, target, timeout, connect_timeout, started_at, is_new });
+        relay_state.max_in_flight = relay_state.max_in_flight.max(relay_state.calls.len());
+        relay_state.max_to_one_host = relay_state
+            .max_to_one_host
+            .max(relay_state.calls.values().filter(|call| call.target.address == to).count());
         let behaviour = self.hosts.get(&to).map_or(Behaviour::Down, |host| host.behaviour);
         if is_new && behaviour == Behaviour::Down {
-            self.end(relay, attempt, AttemptResult::ConnectFailed, false, now + WAY);
+            self.end(relay, attempt, AttemptResult::ConnectFailed, false, now + NETWORK_DELAY);
         } else if is_new && opening > connect_timeout {
             self.end(relay, attempt, AttemptResult::ConnectFailed, false, now + connect_timeout);
         } else if is_new || confirm {
             let wait = if is_new { opening } else { 1 };
-            self.at(now + wait, Happening::Connected(relay, attempt));
+            self.schedule(now + wait, ScheduledEvent::Connected(relay, attempt));
         } else {
-            self.at(now + WAY, Happening::Arrive(relay, attempt));
+            self.schedule(now + NETWORK_DELAY, ScheduledEvent::Arrive(relay, attempt));
         }
     }
 
-    /// Has an attempt end at a time to come; it is out until then.
+    /// Schedules the end of an attempt, which is in flight until then.
     fn end(&mut self, relay: usize, attempt: AttemptId, result: AttemptResult, kept: bool, at: Micros) {
         let Some(call) = self.relays[relay].calls.get(&attempt) else { return };
         let took = at - call.started_at;
         let idle_for = (!call.is_new).then_some(100 * MILLISECOND);
         let end = AttemptEnd { result, took, idle_for, kept };
-        self.at(at, Happening::Ended(relay, attempt, end));
+        self.schedule(at, ScheduledEvent::Ended(relay, attempt, end));
     }
 
     fn arrive(&mut self, relay: usize, attempt: AttemptId) {
         let Some(call) = self.relays[relay].calls.get(&attempt) else { return };
         let (key, timeout, to) = (call.key, call.timeout, call.target.address);
-        let meant = call.target.instance.clone();
+        let expected_instance = call.target.instance.clone();
         let (instance, behaviour) = self
             .hosts
             .get(&to)
             .map_or((None, Behaviour::Down), |host| (host.instance.clone(), host.behaviour));
-        let mistaken = meant.is_some() && meant != instance;
+        let is_wrong_instance = expected_instance.is_some() && expected_instance != instance;
         let (at, service) = (self.now, call.service.clone());
-        self.arrivals.push(Arrival { at, relay, key, service, address: to, mistaken });
+        self.arrivals.push(Arrival { at, relay, key, service, address: to, is_wrong_instance });
         let answer = |status: u16, not_executed: bool| {
             let signature = (status == 200).then(|| Arc::from(format!("signature-{key}")));
             AttemptResult::Answered(Answer { status, not_executed, signature, retry_after: None })
         };
-        let soon = self.now + 5 * MILLISECOND;
+        let answered_at = self.now + 5 * MILLISECOND;
         let (result, ends_at) = match behaviour {
-            _ if mistaken => (answer(421, true), soon),
+            _ if is_wrong_instance => (answer(421, true), answered_at),
             Behaviour::Limited { per_s } => {
-                let host = self.hosts.get_mut(&to).expect("it is there");
+                let host = self.hosts.get_mut(&to).expect("the host exists");
                 host.work.retain(|at| *at + SECOND > self.now);
                 if host.work.len() < per_s {
                     host.work.push(self.now);
-                    (answer(200, false), soon)
+                    (answer(200, false), answered_at)
                 } else {
                     self.refused += 1;
-                    (answer(429, true), soon)
+                    (answer(429, true), answered_at)
                 }
             }
             Behaviour::Slots { took, slots } => match self.take_slot(to, took, slots) {
                 Some(ends_at) => (answer(200, false), ends_at),
-                None => (answer(503, true), soon),
+                None => (answer(503, true), answered_at),
             },
             Behaviour::Serve { took } if took >= timeout => (AttemptResult::TimedOut, self.now + timeout),
             Behaviour::Serve { took } => (answer(200, false), self.now + took),
-            Behaviour::FailMultiplesOf(number) if key.is_multiple_of(number) => (answer(500, false), soon),
-            Behaviour::FailMultiplesOf(_) => (answer(200, false), soon),
+            Behaviour::FailMultiplesOf(number) if key.is_multiple_of(number) => {
+                (answer(500, false), answered_at)
+            }
+            Behaviour::FailMultiplesOf(_) => (answer(200, false), answered_at),
             Behaviour::Hang => (AttemptResult::TimedOut, self.now + timeout),
-            Behaviour::Full => (answer(503, true), soon),
-            Behaviour::RunsElsewhereUntil(until) if self.now < until => (answer(409, true), soon),
-            Behaviour::RunsElsewhereUntil(_) => (answer(200, false), soon),
-            Behaviour::Break | Behaviour::Down => (AttemptResult::Broken(BrokenBy::Close), soon),
-            Behaviour::Refuse => (answer(422, false), soon),
+            Behaviour::Full => (answer(503, true), answered_at),
+            Behaviour::RunsElsewhereUntil(until) if self.now < until => (answer(409, true), answered_at),
+            Behaviour::RunsElsewhereUntil(_) => (answer(200, false), answered_at),
+            Behaviour::Break | Behaviour::Down => (AttemptResult::Broken(BrokenBy::Close), answered_at),
+            Behaviour::Refuse => (answer(422, false), answered_at),
         };
         let kept = matches!(result, AttemptResult::Answered(_));
         self.end(relay, attempt, result, kept, ends_at);
     }
 
-    /// Takes work on at a host with slots; gives its end.
+    /// Accepts work at a host with slots, and returns its end time.
     fn take_slot(&mut self, to: SocketAddr, took: Micros, slots: usize) -> Option<Micros> {
         let (now, host) = (self.now, self.hosts.get_mut(&to)?);
         host.work.retain(|end| *end > now);
         host.work.sort_unstable();
-        let begins = if host.work.len() < slots { now } else { host.work[host.work.len() - slots] };
+        let starts_at = if host.work.len() < slots { now } else { host.work[host.work.len() - slots] };
         if host.work.len() >= slots + slots / 2 {
             self.refused += 1;
             return None;
         }
-        host.work.push(begins + took);
-        self.start_delays.push(begins - now);
-        Some(begins + took)
+        host.work.push(starts_at + took);
+        self.start_delays.push(starts_at - now);
+        Some(starts_at + took)
     }
 
     fn probe(&mut self, relay: usize, host: HostKey, target: &Target) {
         self.probes.push((self.now, target.address));
-        let host_there = self.hosts.get(&target.address);
-        let healthy = host_there.is_some_and(|there| {
-            let serves = !matches!(there.behaviour, Behaviour::Hang | Behaviour::Down | Behaviour::Break);
-            serves && (target.instance.is_none() || target.instance == there.instance)
+        let actual_host = self.hosts.get(&target.address);
+        let healthy = actual_host.is_some_and(|actual| {
+            let serves = !matches!(actual.behaviour, Behaviour::Hang | Behaviour::Down | Behaviour::Break);
+            serves && (target.instance.is_none() || target.instance == actual.instance)
         });
-        self.at(self.now + 5 * MILLISECOND, Happening::Input(relay, Input::Probed { host, healthy }));
+        self.schedule(
+            self.now + 5 * MILLISECOND,
+            ScheduledEvent::Input(relay, Input::Probed { host, healthy }),
+        );
     }
 
     pub fn submit(&mut self, relay: usize, submissions: impl IntoIterator<Item = Submission>) {
         let inputs = submissions.into_iter().map(Input::Submit).collect();
-        self.tell_many(relay, inputs);
+        self.send_inputs(relay, inputs);
     }
 
     pub fn finished(&self) -> usize {
--- a/crates/permits/src/claims.rs
+++ b/crates/permits/src/claims.rs
@@ -13,9 +13,9 @@
 use crate::{MARGIN, VALIDITY};
 
 /// Number of relays that a new home asks about earlier homes, and the interval between claims.
-const CLAIM_RECEIVERS: usize = 3;
+const CLAIM_RECEIVER_COUNT: usize = 3;
 const CLAIM_RETRY_INTERVAL: Micros = 250_000;
-/// Number of claims sent to these relays only, before all relays are claim_receivers.
+/// Number of claims sent to these relays only, before all relays are asked.
 const CLAIMS_BEFORE_ASKING_ALL: u32 = 1;
 /// Time after which a relay that was followed because of its claim, but is not the listed home, is reviewed.
 const UNLISTED_HOME_REVIEW_DELAY: Micros = 3_000_000;
@@ -165,5 +165,5 @@
 
 /// The relays that are most likely to know earlier homes of a service: the next ones by rank.
 fn relays_next_by_rank<'a>(relays: &'a [NodeName], ranking: Ranking, me: &NodeName) -> Vec<&'a NodeName> {
-    ranking.first_few(CLAIM_RECEIVERS, relays.iter().filter(|relay| *relay != me))
+    ranking.first_few(CLAIM_RECEIVER_COUNT, relays.iter().filter(|relay| *relay != me))
 }
--- a/crates/permits/src/event.rs
+++ b/crates/permits/src/event.rs
@@ -21,8 +21,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             BudgetBasis::NoPredecessor => "no home was before",
-            BudgetBasis::Ledger => "the home before has told of its permits",
-            BudgetBasis::Assumption => "what an earlier home may have granted is assumed",
+            BudgetBasis::Ledger => "the previous home sent its ledger",
+            BudgetBasis::Assumption => "the maximum grants of an earlier home are assumed",
         })
     }
 }
--- a/crates/permits/src/holder.rs
+++ b/crates/permits/src/holder.rs
@@ -10,7 +10,7 @@
 
 /// Time after which an unanswered request for permits is repeated.
 const REQUEST_RETRY_INTERVAL: Micros = 250_000;
-/// Maximum delay before the home is told of settled grants, if no other request is sent.
+/// Maximum delay before the home receives settled grants, if no other request is sent.
 const MAX_SETTLE_DELAY: Micros = 200_000;
 /// Time after which unused permits are returned for other relays to use.
 const UNUSED_TIMEOUT: Micros = 100_000;
--- a/crates/permits/src/permits.rs
+++ b/crates/permits/src/permits.rs
@@ -54,7 +54,7 @@
     last_grant: u64,
     last_claim: u64,
     /// No home was chosen yet since the first start of the system, so there can be no predecessor.
-    is_first: bool,
+    is_first_start: bool,
     /// This process is shutting down and is no longer the home of any service.
     pub(crate) is_stopping: bool,
     pub(crate) effects: Vec<PermitEffect>,
@@ -62,7 +62,7 @@
 
 impl Permits {
     pub fn new(settings: Settings) -> Self {
-        let is_first = settings.bootstrap;
+        let is_first_start = settings.bootstrap;
         let agreed = settings.homes_are_agreed.then(Vec::new);
         let (services, relays, effects) = (BTreeMap::new(), Vec::new(), Vec::new());
         // Two homes that started at the same time may have the same `life`.
@@ -76,7 +76,7 @@
             core_lease_until: 0,
             last_grant,
             last_claim: 0,
-            is_first,
+            is_first_start,
             is_stopping: false,
             effects,
         }
@@ -293,7 +293,7 @@
             service.claims_made = 0;
             service.leave_home(now, has_core_lease);
             if home.as_ref() == Some(me) {
-                let has_predecessor = !self.is_first;
+                let has_predecessor = !self.is_first_start;
                 let wait =
                     if has_predecessor { core_lease + VALIDITY + MARGIN } else { RELAY_LIST_SETTLING_TIME };
                 self.last_claim += 1;
@@ -312,7 +312,7 @@
         // The relay list grows at the first start, so a later home may have a predecessor. Only the first chosen home
         // can skip the wait for one.
         if has_chosen {
-            self.is_first = false;
+            self.is_first_start = false;
         }
     }
 }
