--- a/crates/permits/src/shares.rs
+++ b/crates/permits/src/shares.rs
@@ -12,7 +12,7 @@
 const ROUND: Micros = 2_000_000;
 /// A relay that has sent no request for this time loses its fraction.
 const EXPIRY: Micros = 3 * ROUND;
-/// Part of an even share that each relay keeps, instead of the quarter that the rate limit decisions use. No capacity is
+/// Part of an even share that each relay keeps, instead of a quarter as in the brain. No capacity is
 /// lost, as permits that are not requested go to other relays at once, and a relay with little to send does not wait
 /// behind one with much.
 const MIN_SHARE: f64 = 1.0;
