--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,26 +1,26 @@
-//! What goes into the decision module and what comes out of it.
+//! Input and output types of the decision module.
 //!
-//! Times are whole microseconds of the caller's clock. Nothing here depends on a wire or a socket.
+//! Times are whole microseconds of the caller's clock. Nothing here depends on a wire format or a socket.
 
 mod settings;
 
 pub use settings::{Class, Effect, Group, Kind, Lateness, Listing, Settings, Tenant};
 
-/// A point in time, or a span of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
 /// One endpoint of a destination, opaque to the decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub u64);
 
-/// One message, unique for the life of the caller.
+/// The id of a message, unique for the lifetime of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(pub u64);
 
-/// The number of another firm's system.
+/// The id of another firm's system.
 pub type DestinationId = u32;
 
-/// What the registry says of a host.
+/// A host's state in the registry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
     #[default]
@@ -29,7 +29,7 @@
     Gone,
 }
 
-/// One line of the registry's list.
+/// One entry of the registry's host list.
 #[derive(Clone, Copy, Debug)]
 pub struct Listed {
     pub host: HostId,
@@ -40,16 +40,16 @@
     pub weight: f64,
 }
 
-/// What the registry told.
+/// An answer or update from the registry.
 #[derive(Clone, Debug)]
 pub enum RegistryNews {
     /// The whole list; a host missing from it is gone.
     Whole(Vec<Listed>),
-    /// Changed lines only.
+    /// Only the entries that changed.
     Changes(Vec<Listed>),
-    /// A call failed or a subscription broke; the list stays as it was.
+    /// A call to the registry failed or a subscription broke; the list stays as it was.
     Failed,
-    /// The same, since the registry has more calls than it can answer.
+    /// The registry refused the call because it has more calls than it can answer; the list stays as it was.
     Refused,
 }
 
@@ -57,51 +57,52 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Ok,
-    /// The destination answered with an error; it may have run.
+    /// The destination answered with an error; the attempt may have run.
     Error,
-    /// Turned away unseen, perhaps with a wait (0: none told).
+    /// The destination rejected the attempt without processing it, perhaps with a time to wait (0: none
+    /// given).
     Full {
         wait: Micros,
     },
-    /// No answer in time; it may have run or still run.
+    /// No answer arrived before the timeout; the attempt may have run or may still run.
     Timeout,
-    /// No connection in time; it never ran.
+    /// No connection opened before the timeout; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Called off; it may have run.
+    /// The sender cancelled the attempt; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
 }
 
 impl Outcome {
-    /// A host's own word, or the end of its connection, tells that it is there.
+    /// Whether the outcome shows that the host is alive: it answered, or it closed the connection.
     pub fn is_heard(self) -> bool {
         matches!(self, Outcome::Ok | Outcome::Error | Outcome::Full { .. } | Outcome::Reset)
     }
 
-    /// The attempt may have taken effect.
+    /// Whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
         matches!(self, Outcome::Error) || self.may_still_run()
     }
 
-    /// The attempt may take effect even now.
+    /// Whether the attempt may still take effect.
     pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled)
     }
 }
 
-/// A message handed in.
+/// A message submitted for delivery.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     pub id: MessageId,
     pub class: usize,
     pub destination: DestinationId,
     pub tenant: usize,
-    /// The key of its order, where the class has one.
+    /// The ordering key, where the class delivers in order.
     pub key: Option<u64>,
-    /// It may be delivered until then.
+    /// The message may be delivered until this time.
     pub deadline: Micros,
     pub history: History,
 }
@@ -111,42 +112,43 @@
 pub struct Ran {
     /// When it was sent.
     pub at: Micros,
-    /// Where its host stands, if that is known.
+    /// The zone of its host, if known.
     pub zone: Option<u16>,
 }
 
-/// What became of a message before this sender's start; nothing for a new one. Messages with a history are
-/// handed in before all others, in the order in which they were first taken.
+/// What happened to a message before this sender started; empty for a new message. Messages with a history
+/// are submitted before all others, in the order in which they were first accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct History {
-    /// It was taken on by an earlier sender: its end is owed, whatever is known of its destination yet.
+    /// An earlier sender accepted the message, so it must reach a final result even if its destination is not
+    /// known yet.
     pub restored: bool,
     pub attempts: u32,
     /// The first attempt that may have run.
     pub ran: Option<Ran>,
-    /// When the first attempt that was seen to fail, other than by being turned away, was sent.
+    /// When the first attempt that visibly failed, other than by being rejected unprocessed, was sent.
     pub failed_at: Option<Micros>,
-    /// When an attempt was cut off, if one was out at the end; it may still run.
+    /// When a restart cut off an attempt in flight, if it did; that attempt may still run.
     pub cut_at: Option<Micros>,
-    /// It was given up; its end is yet to be told.
+    /// The message was given up; its final result has yet to be reported.
     pub over: bool,
 }
 
 /// The connection of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Carrier {
-    /// How long it had been idle; none for a new one.
+    /// How long the connection had been idle; `None` for a new one.
     pub idle_for: Option<Micros>,
-    /// It is idle now, and may carry another.
+    /// The connection is idle now and may carry another call.
     pub kept: bool,
 }
 
-/// What a destination tells of its limit in an answer; late, and not exact.
+/// What a destination says about its rate limit in an answer; delayed, and not exact.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Calls a second that it takes.
+    /// Calls per second that the destination accepts.
     pub rate: f64,
-    /// Share of its limit that is left just now, if it tells that.
+    /// Share of the limit that is left at the moment, if the destination says so.
     pub left: Option<f64>,
 }
 
@@ -157,72 +159,72 @@
     pub attempt: u32,
     pub outcome: Outcome,
     pub took: Micros,
-    /// The message is over; no answer is owed.
+    /// The message needs no answer any more.
     pub closed: bool,
-    /// None where it told nothing.
+    /// `None` where the destination said nothing about its limit.
     pub limit: Option<Allowance>,
-    /// None where the caller does not know.
+    /// `None` where the caller does not know.
     pub carrier: Option<Carrier>,
 }
 
-/// What a sender has learnt of a limit's holder and its hosts.
+/// What a sender has learnt about a route (the holder of a rate limit) and its hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LearntRoute {
     pub destination: DestinationId,
-    /// It is one host of it alone.
+    /// The route is a single host of the destination.
     pub apart: bool,
     pub hosts: Vec<HostId>,
-    /// Calls a second that it said it takes.
+    /// Calls per second that the destination said it accepts.
     pub rate: Option<f64>,
-    /// Mean time of an answer and its mean deviation, in microseconds.
+    /// Mean answer time and its mean deviation, in microseconds.
     pub answer_time: f64,
     pub deviation: f64,
-    /// No call goes before then: the destination said so.
+    /// The destination demanded that no call be sent before this time.
     pub wait_until: Micros,
 }
 
-/// What a sender has learnt and the next one at its place may use.
+/// What a sender has learnt and its successor after a restart may use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Learnt {
-    /// When this was so.
+    /// When this was recorded.
     pub at: Micros,
     pub routes: Vec<LearntRoute>,
-    /// Hosts that were out of order, and since when.
+    /// Hosts whose circuit breaker was open, and since when.
     pub out: Vec<(HostId, Micros)>,
 }
 
-/// What of a destination's messages may go to its hosts of one zone, and after which others.
+/// Which part of a destination's messages may go to its hosts in one zone, and the rank of that zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Placement {
     pub destination: DestinationId,
     pub zone: u16,
-    /// Hosts of lower ranks go first among healthy ones.
+    /// Among healthy hosts, those of lower ranks are preferred.
     pub rank: u8,
-    /// Part of the messages that may go there, from 0 to 1. Where no zone with a ready host is left to a message,
-    /// all are.
+    /// Part of the messages that may go to the zone, from 0 to 1. A message for which no zone with a ready
+    /// host is left may go to all zones.
     pub part: f64,
 }
 
-/// What happened, in order of arrival.
+/// Input events, in order of arrival.
 #[derive(Clone, Debug)]
 pub enum Event {
     Registry(RegistryNews),
     Message(Request),
-    /// No answer is owed any more: nobody wants the message, or its end has been told.
+    /// The message needs no answer any more: nobody wants it, or its final result has been reported.
     Withdrawn(MessageId),
     Timer,
-    /// The caller stops then and cuts off what is out.
+    /// The caller stops at this time and cuts off the calls in flight.
     Stop {
         by: Micros,
     },
     Ended(Ended),
     /// A new connection for an attempt is open and nothing is written on it yet: `Action::Write` or
-    /// `Action::Withhold` is the answer. A caller whose connections open at once has none of these.
+    /// `Action::Withhold` is the answer. A caller whose connections open at once sends none of these.
     Opened {
         id: MessageId,
         attempt: u32,
     },
-    /// Part of an attempt's call waits to be written, or none does any more.
+    /// Whether part of an attempt's call still waits to be written.
     Stalled {
         id: MessageId,
         attempt: u32,
@@ -237,30 +239,31 @@
         from: u16,
         bytes: Vec<u8>,
     },
-    /// After the first list: what the sender that was here before had learnt.
+    /// Sent after the first list: what the previous process of this sender had learnt.
     Learnt(Learnt),
-    /// In place of all that was told before: a zone that is not named has rank 0 and takes all.
+    /// Replaces all earlier placements: a zone that is not named has rank 0 and takes all messages.
     Placed(Vec<Placement>),
-    /// New settings, of the same kinds; classes are only added, so that each message keeps its own.
+    /// New settings with the same kinds; classes are only added, so that each message keeps its own.
     Retuned(Settings),
 }
 
-/// What to do, in order.
+/// Output actions, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send {
         id: MessageId,
         host: HostId,
-        /// Time to wait for an answer, and that part of it in which a connection must open.
+        /// `timeout` bounds the wait for an answer; the connection must open within its first part,
+        /// `connect`.
         timeout: Micros,
         connect: Micros,
     },
-    /// Write the call of an attempt on the connection that was opened for it.
+    /// Write the attempt's call on the connection that was opened for it.
     Write {
         id: MessageId,
         attempt: u32,
     },
-    /// Write nothing; the attempt does not count, and its connection is idle now.
+    /// Write nothing; the attempt does not count, and its connection is idle again.
     Withhold {
         id: MessageId,
         attempt: u32,
@@ -270,24 +273,24 @@
         id: MessageId,
         attempt: u32,
     },
-    /// Final answer: not delivered, safe to hand in again, after `retry_after` if above 0.
+    /// Final answer: not delivered, and safe to submit again, after `retry_after` if it is above 0.
     Refuse {
         id: MessageId,
         retry_after: Micros,
     },
-    /// Final answer: given up, with no promise about its effect.
+    /// Final answer: given up; the message may or may not have taken effect.
     Fail(MessageId),
     Probe(HostId),
     /// Close the idle connections to a host.
     CloseIdle(HostId),
-    /// Tell one peer, or every one.
+    /// Send a message to one peer, or to every peer if `to` is `None`.
     Tell {
         to: Option<u16>,
         bytes: Vec<u8>,
     },
     /// Subscribe to the registry's changes.
     Subscribe,
-    /// Ask for a `Timer` event at this time or just after it.
+    /// Request a `Timer` event at this time or just after it.
     Wake(Micros),
     Log(String),
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,19 +1,19 @@
-//! What a sender is told at its start.
+//! Settings that a sender receives at its start.
 
 use super::Micros;
 
 /// What a repeated attempt may do at the destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat at will.
+    /// May be repeated any number of times.
     Free,
-    /// Repeats are dropped for `window`, counted from the first attempt that may have run.
+    /// The destination drops repeats for `window`, counted from the first attempt that may have run.
     Guarded { window: Micros, group: Group },
     /// Must never run twice.
     SingleShot,
 }
 
-/// Which hosts of a destination share the memory of guarded messages.
+/// Which hosts of a destination share the deduplication memory for guarded messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -24,24 +24,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     pub effect: Effect,
-    /// Worth within the aim.
+    /// Value of a message that is answered within the aim.
     pub value: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the value left at the deadline.
     pub late_share: f64,
-    /// Full worth is earned within this span.
+    /// Target time: an answer within this span earns the full value.
     pub aim: Micros,
-    /// The span from first hand-in to the end.
+    /// Span from the first submission to the deadline.
     pub deadline: Micros,
     pub in_order: bool,
 }
 
 impl Class {
-    /// Repeats are dropped only by hosts of one zone.
+    /// Whether only the hosts of one zone drop repeats.
     pub fn is_zoned(&self) -> bool {
         matches!(self.effect, Effect::Guarded { group: Group::Zone, .. })
     }
 
-    /// Worth of a message of this class that is answered at `age`.
+    /// Value of a message of this class that is answered at `age`.
     pub fn worth(&self, lateness: Lateness, age: Micros) -> f64 {
         if age >= self.deadline {
             return 0.0;
@@ -55,7 +55,7 @@
     }
 }
 
-/// How worth falls after the aim.
+/// How the value of a message falls after the aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lateness {
     Linear,
@@ -65,69 +65,69 @@
 /// A kind of destination.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Hosts are routes with a limit, a pace and outages of their own.
+    /// Each host is a route with a limit, a rate and outages of its own.
     pub routes_apart: bool,
-    /// Messages that may travel in one call.
+    /// Maximum number of messages in one call.
     pub bundle: usize,
 }
 
 /// A customer on whose behalf messages are sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Messages a second over all senders that earn full worth.
+    /// Messages per second, over all senders, that earn the full value.
     pub quota_per_s: f64,
 }
 
-/// What the weight of a listed host says.
+/// Meaning of a listed host's weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// Nothing.
+    /// The weight means nothing.
     Silent,
-    /// The calls a second that the route takes from all senders together.
+    /// Calls per second that the route accepts from all senders together.
     Nominal,
-    /// The same, far from exact.
+    /// The same rate, but far from exact.
     Rough,
 }
 
-/// All that a sender is told at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub me: u16,
-    /// Senders in this group, this one included.
+    /// Number of senders in this group, this one included.
     pub senders: u16,
     pub classes: Vec<Class>,
     pub kinds: Vec<Kind>,
     pub tenants: Vec<Tenant>,
-    /// Share of the worth that is left of a message beyond its tenant's quota.
+    /// Share of the value that is left for a message beyond its tenant's quota.
     pub over_share_worth: f64,
     pub lateness: Lateness,
-    /// Calls that may be out at once.
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Messages that may be held, sent or not.
+    /// Maximum number of messages held, whether sent or not.
     pub most_held: usize,
     pub max_attempts: u32,
     pub may_tell: bool,
-    /// Clients may be told when to come back, up to this span; 0 where they may not.
+    /// Maximum `retry_after` for clients; 0 where none may be given.
     pub max_retry_after: Micros,
-    /// Idle connections close after this span.
+    /// Idle connections are closed after this span.
     pub idle_close: Micros,
     /// A connection that takes longer to open counts as failed.
     pub connect_timeout: Micros,
-    /// An end other than delivery reaches the client by a notice; `Event::Withdrawn` says when it has.
+    /// A final result other than delivery reaches the client by a notice; `Event::Withdrawn` reports that it
+    /// arrived.
     pub ends_by_notice: bool,
     pub listing: Listing,
-    /// The registry answers only when asked.
+    /// The registry sends no updates: it answers only when asked.
     pub ask_registry: bool,
     pub ask_within: Micros,
     pub drain_grace: Micros,
-    /// Share of its capacity that a destination has at least when it returns.
+    /// Minimum share of its capacity that a destination has when it returns from an outage.
     pub cold_share: f64,
-    /// It has all of it after this span.
+    /// The destination has its full capacity after this span.
     pub cold_time: Micros,
-    /// A cold destination sent more than this multiple of its present capacity ...
+    /// A cold destination that receives more than this multiple of its present capacity ...
     pub overload_factor: f64,
-    /// ... for this span falls over.
+    /// ... for this span fails.
     pub overload_window: Micros,
-    /// A key rests this long after an attempt that may still run.
+    /// No message of the same key is sent for this span after an attempt that may still run.
     pub order_rest: Micros,
 }
--- a/src/memo.rs
+++ b/src/memo.rs
@@ -1,45 +1,45 @@
-//! The bytes of a peer message. What they mean for a sender is decided in `src/brain`.
+//! Encoding of the messages between senders (peers). `src/brain` decides what they mean.
 //!
-//! A version, a purpose, then destination, flags, host where it is named, and figures. Numbers are written
-//! seven bits to a byte, lowest first, since most are small and each byte has a price.
+//! A message has a version, a purpose, the destination, flags, the host if one is named, and figures. Numbers
+//! are variable-length: seven bits to a byte, lowest first, since most are small and each byte has a price.
 
 use crate::interface::{DestinationId, HostId, Micros};
 use crate::state::{Report, RouteId};
 
 const VERSION: u8 = 3;
-/// Bytes of the longest number taken.
+/// Maximum length of an encoded number, in bytes.
 const LONGEST: usize = 4;
 const PER_PERMIT: f64 = 100.0;
-/// Steps in which a limit is told, to a call a second.
+/// A limit is encoded in tenths of a call per second.
 const PER_CALL: f64 = 10.0;
 
-/// What is told of one route.
+/// What a message says about one route or host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Record {
     pub destination: DestinationId,
-    /// The host, where routes are apart or where the word is of its health.
+    /// The host, where each host has a route of its own or where the message is about a host's health.
     pub host: Option<HostId>,
-    /// The round that ends.
+    /// The report on the round that is ending.
     pub report: Report,
-    /// The host answers again, or does not answer.
+    /// Whether the host answers again (true) or does not answer (false).
     pub up: Option<bool>,
-    /// An answer with the sum of the others' reports is asked for.
+    /// The sender requests the sum of the other senders' reports.
     pub asks: bool,
 }
 
 impl Record {
-    /// Of a host's health alone.
+    /// A record about a host's health alone.
     pub fn of_host(destination: DestinationId, host: HostId, up: bool) -> Self {
         Record { destination, host: Some(host), up: Some(up), ..Record::default() }
     }
 
-    /// Of a wait at a route, in whole milliseconds.
+    /// A record about the wait that a route's destination demanded, in whole milliseconds.
     pub fn of_wait((destination, host): RouteId, wait: Micros) -> Self {
         let report = Report { used: wait as f64 / 1e3, ..Report::default() };
         Record { destination, host, report, ..Record::default() }
     }
 
-    /// The wait that is told.
+    /// The wait that the record carries.
     pub fn wait(&self) -> Micros {
         (self.report.used * 1e3) as Micros
     }
@@ -48,18 +48,19 @@
 /// What a peer message is for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Purpose {
-    /// What can't wait for the round's end.
+    /// A host's change of health, which can't wait for the end of the round.
     #[default]
     News,
-    /// What a home makes of its peers' news.
+    /// A home's decision on a host's health. The homes are the senders that collect the reports of a
+    /// destination.
     Verdict,
-    /// The sender's own reports of a round.
+    /// The sender's own report on a round.
     Round,
-    /// The sums that were asked for.
+    /// The requested sum of the other senders' reports.
     Sums,
-    /// A host's table of connections was found full.
+    /// A host's connection table was found full.
     Crowded,
-    /// A route told to wait, in milliseconds.
+    /// A route's destination demanded a wait, in milliseconds.
     Wait,
 }
 
@@ -114,7 +115,6 @@
     Some(record)
 }
 
-/// The message as bytes.
 pub fn encode(memo: &Memo) -> Vec<u8> {
     let record = &memo.record;
     let mut bytes = vec![VERSION, memo.purpose as u8];
@@ -133,7 +133,7 @@
     bytes
 }
 
-/// Reads untrusted bytes; none where any of them is unknown, cut short or out of bounds.
+/// Decodes untrusted bytes; returns `None` where any part is unknown, truncated or out of bounds.
 pub fn decode(bytes: &[u8]) -> Option<Memo> {
     let [VERSION, purpose, rest @ ..] = bytes else { return None };
     let purposes =
--- a/src/state/agenda.rs
+++ b/src/state/agenda.rs
@@ -1,21 +1,21 @@
-//! What is due when.
+//! Times at which the next periodic work is due.
 
 use crate::interface::Micros;
 
-/// What is due when.
+/// Times at which the next periodic work is due.
 #[derive(Debug, Default)]
 pub struct Agenda {
-    /// End of the round, next look at what is held, next timer.
+    /// End of the round, next check of the held messages, next requested timer.
     pub round_at: Micros,
     pub look_at: Micros,
     pub wake_at: Micros,
-    /// When the registry is asked, and the last pause before that.
+    /// When the registry is asked next, and the last backoff before that.
     pub ask_at: Option<Micros>,
     pub ask_pause: Micros,
 }
 
 impl Agenda {
-    /// The next timer, if it is not set already; no look is due while nothing is held.
+    /// Returns the next timer to request, unless it is already set. No check is due while no message is held.
     pub fn wake(&mut self, holds_nothing: bool, now: Micros) -> Option<Micros> {
         let look = if holds_nothing { Micros::MAX } else { self.look_at };
         let next = look.min(self.round_at).min(self.ask_at.unwrap_or(Micros::MAX)).max(now + 1);
--- a/src/state/calls.rs
+++ b/src/state/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and the attempts in them, from the first byte to the outcome.
+//! Calls and their attempts, from sending to the outcome.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 use crate::interface::{Carrier, DestinationId, Ended, HostId, MessageId, Micros, Outcome, Ran, Settings};
 
 impl State {
-    /// A message that is out, with its call and host.
+    /// The message with an attempt in flight, with its call and host.
     pub fn out(&self, id: MessageId) -> Option<(&Message, &Call, &Host)> {
         let message = self.messages.get(&id)?;
         let out = message.out?;
         Some((message, self.calls.get(&out.call)?, self.hosts.get(&out.host)?))
     }
 
-    /// Attempts of which part waits to be written.
+    /// Attempts whose call is partly unwritten.
     pub fn stalled(&self) -> Vec<(MessageId, u32)> {
         let out = self.messages.iter().filter_map(|(id, message)| Some((*id, message.out?)));
         out.filter(|(_, out)| out.stalled).map(|(id, out)| (id, out.number)).collect()
     }
 
-    /// Of each host with calls out, when the first was sent and how many there are.
+    /// For each host with calls in flight: when the first was sent, and how many there are.
     pub fn unanswered(&self) -> BTreeMap<HostId, (Micros, u64)> {
         let mut unanswered = BTreeMap::new();
         for call in self.calls.values() {
@@ -29,7 +29,7 @@
         unanswered
     }
 
-    /// A call of this batch to a destination that another message may join.
+    /// A call to a destination, opened in this batch of events, that another message may join.
     pub fn bundle(&self, destination: DestinationId, now: Micros) -> Option<(HostId, u64)> {
         let to = |id: HostId| self.hosts.get(&id).is_some_and(|host| host.route.0 == destination);
         let latest = self.calls.iter().rev().take_while(|(_, call)| call.sent_at == now);
@@ -37,7 +37,7 @@
         open.next().map(|(number, call)| (call.host, *number))
     }
 
-    /// Books a new call to a known host.
+    /// Records a new call to a known host.
     pub fn open_call(&mut self, id: HostId, now: Micros, settings: &Settings) -> Option<u64> {
         let (host, route) = self.host_and_route(id)?;
         if route.bound {
@@ -58,7 +58,7 @@
         Some(self.last_call)
     }
 
-    /// Books an attempt of a message in a call.
+    /// Records an attempt of a message in a call.
     pub fn join_call(&mut self, call: u64, id: MessageId, now: Micros) {
         if let (Some(entry), Some(message)) = (self.calls.get_mut(&call), self.messages.get_mut(&id)) {
             entry.members += 1;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Books that the call of an attempt is written now; nothing joins it any more.
+    /// Records that the call of an attempt is being written; no message may join it any more.
     pub fn write(&mut self, id: MessageId, now: Micros) {
         let out = self.messages.get_mut(&id).and_then(|message| message.out.as_mut());
         let Some(out) = out else { return };
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Books that nothing of an attempt is written: it and its permit are as if it had never been.
+    /// Undoes an attempt of which nothing was written: neither the attempt nor its permit counts.
     pub fn withhold(&mut self, id: MessageId, attempt: u32, now: Micros) {
         let carrier = Some(Carrier { idle_for: None, kept: true });
         let (outcome, took, closed, limit) = (Outcome::Moot, 0, false, None);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Books whether part of an attempt waits to be written.
+    /// Records whether part of an attempt's call waits to be written.
     pub fn stall(&mut self, id: MessageId, attempt: u32, stalled: bool) {
         let out = self.messages.get_mut(&id).and_then(|message| message.out.as_mut());
         if let Some(out) = out.filter(|out| out.number == attempt) {
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Books the outcome of an attempt, and the end of its message where it is over. Gives the attempt, whether
-    /// it is the first of its call to end (messages of one call share its fate), and how long the call's
-    /// connection had been idle.
+    /// Records the outcome of an attempt, and removes its message if it is finished. Returns the attempt,
+    /// whether it is the first of its call to end (all messages of a call share its outcome), and how long
+    /// the call's connection had been idle.
     pub fn close_attempt(
         &mut self, ended: &Ended, now: Micros, rest: Micros,
     ) -> Option<(Attempt, bool, Option<Micros>)> {
@@ -121,7 +121,8 @@
         }
         let call = self.calls.get_mut(&attempt.call)?;
         call.members -= 1;
-        // Danger: a connection that was closed, by a host or with a spoilt answer, counts as idle.
+        // Without the caller's word, a connection that the host closed or that returned a malformed answer
+        // would count as idle.
         let idle_for = ended.carrier.map_or(call.idle_for, |carrier| carrier.idle_for);
         let usual = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full { .. });
         let kept = ended.carrier.map_or(usual, |carrier| carrier.kept);
@@ -144,7 +145,8 @@
         Some((attempt, first, idle_for))
     }
 
-    /// Forgets and names the hosts whose oldest idle connection is of the age that their kind has here.
+    /// Removes and returns the hosts whose oldest idle connection has reached the maximum idle age of its
+    /// kind.
     pub fn close_idle(&mut self, ages: &[f64], now: Micros) -> Vec<HostId> {
         let hosts = &mut self.hosts;
         let is_old = |id: &HostId| {
@@ -161,8 +163,8 @@
         old
     }
 
-    /// Books a call that was served; a new one has this weight in the mean. It bears out that a host is not out
-    /// of order, whatever the homes found.
+    /// Records a successful call; `weight` is its weight in the moving average. Success also shows that the
+    /// host is up, whatever the homes decided.
     pub fn serve(&mut self, id: HostId, now: Micros, weight: f64) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.trouble /= 2.0;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Books whether a call was seen to fail.
+    /// Records whether a call visibly failed.
     pub fn mark(&mut self, id: HostId, failed: bool) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.failed |= failed;
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -6,14 +6,14 @@
 use super::route::RouteId;
 use crate::interface::{Lifecycle, Micros};
 
-/// Whether calls to a host are let through.
+/// State of a host's circuit breaker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Health {
     #[default]
     Closed,
-    /// No calls but one trial at a time.
+    /// No calls except one trial call at a time.
     Open,
-    /// Answers again, but may be cold.
+    /// The host answers again, but may be cold.
     SlowStart { since: Micros },
 }
 
@@ -25,39 +25,42 @@
     pub zone: u16,
     pub lifecycle: Lifecycle,
     pub health: Health,
-    /// It answered again and may not be warm yet, whatever opened it since.
+    /// The host answered after an outage and may not have its full capacity yet, even if its breaker opened
+    /// again since.
     pub cold: bool,
-    /// Failures, halved by each success.
+    /// Sum of weighted failures, halved by each success.
     pub trouble: f64,
-    /// When the present trouble began and when it last showed.
+    /// When the present series of failures began, and when the last failure was seen.
     pub bad_since: Micros,
     pub bad_at: Micros,
-    /// Senders that lately told of its trouble, and when; at the homes of its route.
+    /// Senders that recently reported this host as failing, and when; kept at the homes of its route, the
+    /// senders that collect its reports.
     pub accusers: BTreeMap<u16, Micros>,
-    /// When the homes last found it out of order.
+    /// When the homes last declared the host down; 0 if it is not.
     pub verdict_at: Micros,
-    /// When they last told of it either way.
+    /// When the homes last announced the host's health, up or down.
     pub worded_at: Micros,
-    /// A call was seen to fail in that trouble, not just to take long.
+    /// A call visibly failed in the present series of failures, not just took long.
     pub failed: bool,
-    /// Last sign of life, and last call that was served.
+    /// When the host last showed a sign of life, and when a call last succeeded.
     pub heard_at: Micros,
     pub ok_at: Micros,
-    /// Connects that failed since the last served call, and until when none is tried for that.
+    /// Failed connection attempts since the last successful call, and the time before which no new connection
+    /// is tried for that reason.
     pub unmet: u32,
     pub shut_until: Micros,
-    /// Mean share of calls that failed at once.
+    /// Moving average of the share of calls that failed.
     pub failing: f64,
-    /// A trial is out.
+    /// A trial call is in flight.
     pub trial: bool,
-    /// Calls out.
+    /// Calls in flight.
     pub calls: usize,
-    /// When a call was last lost on a connection that had been idle, and how long others are to idle if that was
-    /// why.
+    /// When a call was last lost on a connection that had been idle, and the idle time allowed from then on
+    /// if the idle time was the cause.
     pub lost: Option<(Micros, f64)>,
-    /// Since when each known connection has been idle.
+    /// Since when each known idle connection has been idle.
     pub idle: Vec<Micros>,
-    /// Permits of a host that is open or cold, and when they were last counted.
+    /// Tokens of a host whose breaker is open or that is cold, and when they were last refilled.
     pub cold_tokens: f64,
     pub cold_at: Micros,
 }
@@ -67,19 +70,20 @@
         self.health == Health::Open
     }
 
-    /// Books a sender that told of its trouble, if one did; words count until they expire.
+    /// Records the sender that reported the host as failing, if one did; reports count until they expire.
     pub fn accuse(&mut self, by: Option<u16>, expiry: Micros, now: Micros) {
         self.accusers.retain(|_, at| *at + expiry > now);
         self.accusers.extend(by.map(|by| (by, now)));
     }
 
-    /// Counts permits up to now at `pace`, while it is open or cold; one can be saved up.
+    /// Refills the tokens up to now at `pace` calls per second, while the host is open or cold; at most one
+    /// is saved up.
     pub fn fill(&mut self, pace: f64, now: Micros) {
         self.cold_tokens = (self.cold_tokens + pace * seconds(now - self.cold_at)).min(1.0);
         self.cold_at = now;
     }
 
-    /// Books the homes' word of it.
+    /// Records the homes' decision on the host's health.
     pub fn word(&mut self, up: bool, now: Micros) {
         (self.verdict_at, self.worded_at) = (if up { 0 } else { now }, now);
         if up {
@@ -87,7 +91,8 @@
         }
     }
 
-    /// Books trouble that began at `since`. Spells less than `apart` apart are one, and so is all until closed.
+    /// Records failures that began at `since`. Series of failures less than `apart` apart count as one, and
+    /// so do all failures until the breaker closes.
     pub fn ail(&mut self, weight: f64, since: Micros, now: Micros, apart: Micros) {
         self.trouble += weight;
         if self.health == Health::Closed && since > self.bad_at + apart {
--- a/src/state/learnt.rs
+++ b/src/state/learnt.rs
@@ -1,10 +1,10 @@
-//! What a sender has learnt and the next one at its place may use.
+//! What a sender has learnt and its successor after a restart may use.
 
 use super::{Route, RouteId, State};
 use crate::interface::{HostId, Learnt, LearntRoute, Micros};
 
 impl State {
-    /// What has been learnt of hosts: of each route that was used or waits, and which of them are open.
+    /// What has been learnt about each route that was used or must wait, and which hosts are open.
     pub fn learnt(&self, at: Micros) -> Learnt {
         let route = |((destination, host), route): (&RouteId, &Route)| LearntRoute {
             destination: *destination,
@@ -16,7 +16,8 @@
             deviation: route.deviation,
             wait_until: route.wait_until,
         };
-        // Danger: a wait that an earlier sender was told is forgotten by one that made no call there.
+        // Without the second condition, a wait demanded of an earlier process is lost if this one made no
+        // call to the route.
         let known = |route: &Route| route.active_at > 0 || route.wait_until > at;
         let used = self.routes.iter().filter(|(_, route)| known(route));
         let open = self.hosts.iter().filter(|(_, host)| host.is_open());
@@ -24,7 +25,8 @@
         Learnt { at, routes: used.map(route).collect(), out }
     }
 
-    /// Takes over what was learnt of a route whose limit is held the same way by one of the same hosts.
+    /// Restores what was learnt about a route, if one of the same hosts still belongs to a route of the same
+    /// form.
     pub fn recall(&mut self, old: &LearntRoute) -> bool {
         let listed =
             |host: &&HostId| self.hosts.get(host).is_some_and(|host| host.route.0 == old.destination);
@@ -32,7 +34,8 @@
         let route = self.routes.get_mut(&(old.destination, old.apart.then_some(*host)));
         if let Some(route) = route {
             (route.told, route.answer_time, route.deviation) = (old.rate, old.answer_time, old.deviation);
-            // Danger: a wait told to the process before is forgotten, and calls go before it is over.
+            // Without this, a wait demanded of the previous process is lost, and calls are sent before it is
+            // over.
             route.hold(old.wait_until);
             return true;
         }
--- a/src/state/listing.rs
+++ b/src/state/listing.rs
@@ -1,4 +1,4 @@
-//! Hosts and their routes, by the registry's list.
+//! Hosts and their routes, as the registry lists them.
 
 use std::collections::BTreeSet;
 
@@ -11,18 +11,17 @@
         ids.filter_map(|id| Some((*id, self.hosts.get(id)?)))
     }
 
-    /// The hosts of a destination that nothing is held against.
+    /// The hosts of a destination whose circuit breaker is closed.
     pub fn healthy(&self, destination: DestinationId) -> Vec<HostId> {
         let healthy = self.hosts_of(destination).filter(|(_, host)| host.health == Health::Closed);
         healthy.map(|(id, _)| id).collect()
     }
 
-    /// The hosts of a kind.
     pub fn of_kind(&self, kind: usize) -> Vec<HostId> {
         self.hosts.iter().filter(|(_, host)| host.kind == kind).map(|(id, _)| *id).collect()
     }
 
-    /// The hosts of a route that are not open.
+    /// The hosts of a route whose circuit breaker is not open.
     pub fn closed_hosts(&self, id: RouteId) -> impl Iterator<Item = HostId> {
         let closed = move |host: &Host| host.route == id && !host.is_open();
         self.hosts_of(id.0).filter(move |(_, host)| closed(host)).map(|(id, _)| id)
@@ -45,13 +44,13 @@
         Some((host, route))
     }
 
-    /// Whether a destination was ever listed, or none was at all.
+    /// Whether a destination was ever listed, or no list has arrived yet.
     pub fn knows(&self, destination: DestinationId) -> bool {
         self.routes.is_empty() || self.routes_of(destination).next().is_some()
     }
 
-    /// Takes over lines of the registry's list; in a `whole` one a missing host is gone. A `new` route is
-    /// made for a destination not seen before, or for a host whose kind has its routes apart.
+    /// Applies entries of the registry's list; a host missing from a `whole` list is gone. `new` makes the
+    /// route of a destination not seen before, or of a host whose kind has a route per host.
     pub fn list(
         &mut self, entries: &[Listed], whole: bool, settings: &Settings, new: impl Fn(RouteId) -> Route,
         now: Micros,
@@ -75,8 +74,8 @@
                 route.listed = Some(entry.weight).filter(|_| settings.listing != Listing::Silent);
             }
         }
-        // Danger: over a long day, what is kept of hosts that are gone fills the memory. That of one with calls
-        // out is forgotten with a later list.
+        // Without this, the state of hosts that are gone fills the memory over a long day. The state of a
+        // host with calls in flight is removed with a later list.
         let mut changed: BTreeSet<DestinationId> = entries.iter().map(|entry| entry.destination).collect();
         for (_, host) in
             self.hosts.extract_if(.., |_, host| host.lifecycle == Lifecycle::Gone && host.calls == 0)
@@ -88,8 +87,9 @@
         changed.into_iter().for_each(|destination| self.count_hosts(destination));
     }
 
-    /// Gives new settings back once each route is a home where `homes` says so among the senders that there are now.
-    /// Danger: one that no longer is takes all for itself, as it hears of no others.
+    /// Returns the new settings after updating which routes this sender is a home of, given the new number of
+    /// senders. Without this, a sender that is no longer a home takes the whole limit for itself, as it
+    /// receives no reports.
     pub fn retuned(
         &mut self, settings: Settings, homes: impl Fn(DestinationId, u16, Micros) -> Vec<u16>,
     ) -> Settings {
@@ -100,7 +100,7 @@
         settings
     }
 
-    /// Has a host that was never used take over the trouble of its route's others, if all of them are open.
+    /// Gives a host that was never used the health of its route's other hosts, if all of those are open.
     pub fn inherit(&mut self, id: HostId, tokens: f64, now: Micros) {
         let Some(host) = self.hosts.get(&id) else { return };
         let used = host.ok_at > 0 || host.calls > 0 || host.health != Health::Closed;
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -1,4 +1,4 @@
-//! A message, its attempts, their calls, and the order of its key.
+//! Messages, their attempts and calls, and the queues of ordering keys.
 
 use std::collections::VecDeque;
 
@@ -11,11 +11,11 @@
     pub call: u64,
     pub host: HostId,
     pub sent_at: Micros,
-    /// Part of it waits to be written.
+    /// Part of the attempt's call waits to be written.
     pub stalled: bool,
 }
 
-/// A message that was taken.
+/// An accepted message.
 #[derive(Debug)]
 pub struct Message {
     pub request: Request,
@@ -23,14 +23,15 @@
     pub out: Option<Attempt>,
     /// The first attempt that may have run.
     pub ran: Option<Ran>,
-    /// Answered; kept only until its attempt has an outcome and its end is told.
+    /// Whether the message has its final answer; it is kept only until its attempt has an outcome and its
+    /// final result is reported.
     pub over: bool,
-    /// Its end has yet to be told.
+    /// The final result has yet to be reported.
     pub untold: bool,
 }
 
 impl Message {
-    /// Time since it was first handed in.
+    /// Time since the message was first submitted.
     pub fn age(&self, class: &Class, at: Micros) -> Micros {
         at.saturating_sub(self.request.deadline.saturating_sub(class.deadline))
     }
@@ -46,11 +47,11 @@
     pub room: usize,
     pub trial: bool,
     pub judged: bool,
-    /// How long its connection had been idle; none for a new one.
+    /// How long its connection had been idle; `None` for a new one.
     pub idle_for: Option<Micros>,
 }
 
-/// The messages of one key, in the order taken.
+/// The messages of one ordering key, in the order in which they were accepted.
 #[derive(Debug, Default)]
 pub struct KeyQueue {
     pub queue: VecDeque<MessageId>,
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that are held, and the order of their keys.
+//! Held messages, and the order within their keys.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
         self.messages.values().filter(|message| !message.over)
     }
 
-    /// Messages that still need an answer and have no attempt out.
+    /// Messages that still need an answer and have no attempt in flight.
     pub fn waiting(&self) -> impl Iterator<Item = &Message> {
         self.held().filter(|message| message.out.is_none())
     }
@@ -25,12 +25,13 @@
         counts
     }
 
-    /// Messages of a tenant in a round, in the mean.
+    /// Moving average of a tenant's messages per round.
     pub fn demand(&self, tenant: usize) -> f64 {
         self.demand.get(&tenant).map_or(0.0, |(_, mean)| *mean)
     }
 
-    /// Takes a message on. After an attempt that a restart cut off, its key rests as after any that may run on.
+    /// Accepts a message. If a restart cut off one of its attempts, its key is paused as after any attempt
+    /// that may still run.
     pub fn accept(&mut self, request: Request, settings: &Settings) {
         let History { attempts, ran, cut_at, over, .. } = request.history;
         self.demand.entry(request.tenant).or_default().0 += 1.0;
@@ -43,7 +44,7 @@
         self.messages.insert(request.id, message);
     }
 
-    /// Books that nothing is owed for a message any more.
+    /// Records that the client needs no more answers about a message.
     pub fn withdraw(&mut self, id: MessageId, now: Micros) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.untold = false;
@@ -51,7 +52,7 @@
         self.end(id, now);
     }
 
-    /// Gives a message up; where ends are told by notices it holds its key until then.
+    /// Gives a message up; where final results are reported by notices, it blocks its key until then.
     pub fn give_up(&mut self, id: MessageId, by_notice: bool, now: Micros) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.untold = by_notice;
@@ -59,7 +60,8 @@
         self.end(id, now);
     }
 
-    /// Marks a message as answered; it stays known while an attempt of it is out or its end is untold.
+    /// Marks a message as answered; it is kept while an attempt is in flight or its final result is
+    /// unreported.
     pub fn end(&mut self, id: MessageId, now: Micros) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.over = true;
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Whether a message is the first of its key and the key's rest is over.
+    /// Whether a message is the first of its key and the key is not paused.
     pub fn in_turn(&self, message: &Message, now: Micros) -> bool {
         let entry = message.request.key.and_then(|key| self.keys.get(&key));
         entry.is_none_or(|entry| {
@@ -85,7 +87,8 @@
         })
     }
 
-    /// Ends a round: its demand has this weight in the mean, and keys that rest no more are forgotten.
+    /// Ends a round: adds its demand to the moving average with this weight, and removes keys whose pause is
+    /// over.
     pub fn end_round(&mut self, weight: f64, now: Micros) {
         self.keys.retain(|_, entry| !entry.queue.is_empty() || entry.rest_until > now);
         for (count, mean) in self.demand.values_mut() {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,4 @@
-//! What a sender knows, and the bookkeeping that keeps it straight. What follows from it is decided in
-//! `src/brain`.
+//! The state of a sender and its bookkeeping. `src/brain` makes the decisions.
 
 mod agenda;
 mod calls;
@@ -25,7 +24,7 @@
 pub use report::Report;
 pub use route::{Route, RouteId};
 
-/// All of it.
+/// The whole state of a sender.
 #[derive(Debug, Default)]
 pub struct State {
     pub hosts: BTreeMap<HostId, Host>,
@@ -33,9 +32,10 @@
     pub messages: BTreeMap<MessageId, Message>,
     pub keys: BTreeMap<u64, KeyQueue>,
     pub calls: BTreeMap<u64, Call>,
-    /// Messages of each tenant in this round, and their mean number in a round.
+    /// Messages of each tenant in this round, and their moving average per round.
     pub demand: BTreeMap<usize, (f64, f64)>,
-    /// Rank of each destination's zones, and the part of messages that they take; all, where nothing is told.
+    /// Rank of each zone of a destination, and the part of the messages that it takes; a zone without an
+    /// entry takes all.
     places: BTreeMap<(DestinationId, u16), (u8, f64)>,
     /// The hosts of each destination.
     index: BTreeMap<DestinationId, BTreeSet<HostId>>,
--- a/src/state/numbers.rs
+++ b/src/state/numbers.rs
@@ -1,16 +1,16 @@
-//! Scattered numbers and spans.
+//! Pseudo-random numbers and time conversion.
 
 use crate::interface::Micros;
 
-/// Odd factor that scatters numbers (2^64 over the golden ratio).
+/// Odd multiplier that spreads numbers evenly (2^64 over the golden ratio).
 const SCATTER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// An order of ids that differs between senders.
+/// A hash that orders ids differently for each sender.
 pub fn scattered(id: u64, seed: u64) -> u64 {
     (id ^ seed).wrapping_mul(SCATTER)
 }
 
-/// A fraction below one that differs between senders and times.
+/// A pseudo-random fraction below one that differs between senders and times.
 pub fn chance(now: Micros, seed: u64) -> f64 {
     (scattered(now, seed) >> 32) as f64 / f64::from(u32::MAX)
 }
--- a/src/state/places.rs
+++ b/src/state/places.rs
@@ -1,22 +1,21 @@
-//! Which zones a destination's messages may go to, as was told.
+//! Placement: which zones a destination's messages may go to.
 
 use super::{Host, Message, State};
 use crate::interface::{DestinationId, Lifecycle, Placement};
 
 impl State {
-    /// Takes over the placements, in place of all before.
+    /// Replaces all placements.
     pub fn place(&mut self, placements: Vec<Placement>) {
         let placed = |place: Placement| ((place.destination, place.zone), (place.rank, place.part));
         self.places = placements.into_iter().map(placed).collect();
     }
 
-    /// The rank of a host's zone.
     pub fn rank(&self, host: &Host) -> u8 {
         self.places.get(&(host.route.0, host.zone)).map_or(0, |(rank, _)| *rank)
     }
 
-    /// Whether a message may go to a host's zone, by its own chance from 0 to 1. Danger: all zones that have hosts
-    /// are closed to it, and it waits for its deadline.
+    /// Whether a message may go to a host's zone, given its pseudo-random `chance` from 0 to 1. Without the
+    /// fallback, a message for which all zones with hosts are closed waits for its deadline.
     pub fn is_placed(&self, message: &Message, host: &Host, chance: f64) -> bool {
         let open = |destination: DestinationId, host: &Host| {
             self.places.get(&(destination, host.zone)).is_none_or(|(_, part)| chance < *part)
--- a/src/state/repeats.rs
+++ b/src/state/repeats.rs
@@ -1,10 +1,10 @@
-//! What the effect of a message allows once an attempt of it may have run.
+//! What a message's effect allows once one of its attempts may have run.
 
 use super::{Host, Message, State};
 use crate::interface::{Class, Effect, Group, Micros};
 
 impl State {
-    /// Whether a refusal is harmless: the message may come again whatever became of its attempts.
+    /// Whether a message may be refused: it can safely be submitted again, whatever happened to its attempts.
     pub fn may_refuse(message: &Message, class: &Class, now: Micros) -> bool {
         let ran = message.ran.is_some() || message.out.is_some();
         match class.effect {
@@ -16,14 +16,15 @@
         }
     }
 
-    /// Whether a message may go to a host: a guarded one that may have run goes only where repeats are
-    /// dropped. Danger: hosts that remember for their own zone alone run it once more in another.
+    /// Whether a message may go to a host without taking effect twice: hosts that drop repeats only within
+    /// their own zone would run it again in another.
     pub fn may_reach(message: &Message, class: &Class, host: &Host) -> bool {
         !class.is_zoned() || message.ran.is_none_or(|ran| ran.zone == Some(host.zone))
     }
 
-    /// Whether the window of a guarded message that may have run is over at `at`. Danger: a call that is still out may
-    /// have run long ago, and the message is handed back as if it could come again.
+    /// Whether the deduplication window of a guarded message that may have run is over at `at`. A call in
+    /// flight counts: it may have run long ago, and a message refused after its window would run twice when
+    /// it is submitted again.
     pub fn lapsed(message: &Message, class: &Class, at: Micros) -> bool {
         let ran = message.ran.map(|ran| ran.at).or(message.out.map(|out| out.sent_at));
         match class.effect {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Until when a call may be under way: the message's deadline, or the end of its window.
+    /// The time by which a call must end: the message's deadline, or the end of its deduplication window.
     pub fn until(message: &Message, class: &Class) -> Micros {
         let deadline = message.request.deadline;
         match class.effect {
--- a/src/state/report.rs
+++ b/src/state/report.rs
@@ -2,34 +2,35 @@
 
 use std::ops::Add;
 
-/// What senders did on a route in a round, in permits: one of them, or several added up.
+/// What one sender, or several added up, did on a route in a round, in permits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     pub senders: f64,
     pub designated: f64,
-    /// Designated to those that used all of theirs.
+    /// Permits designated to senders that used all of theirs.
     pub full: f64,
-    /// Left over by the others.
+    /// Permits that the other senders left unused.
     pub spare: f64,
     pub used: f64,
     pub refused: f64,
-    /// Limits that answers told in the round, in calls a second, and how many senders were told of one.
+    /// Sum of the limits that answers gave in the round, in calls per second, and how many senders received
+    /// one.
     pub limits: f64,
     pub tellers: f64,
 }
 
 impl Report {
-    /// What the senders were told of the limit, in the mean.
+    /// Mean of the limits that the senders received.
     pub fn limit(&self) -> Option<f64> {
         (self.tellers > 0.0).then(|| self.limits / self.tellers)
     }
 
-    /// What a sender that leaves reports: it used its permits, and has none any more.
+    /// What a stopping sender reports: the permits that it used, and no claim to any more.
     pub fn parting(self) -> Self {
         Report { used: self.used, refused: self.refused, ..Report::default() }
     }
 
-    /// What a sender without a newer report has done since.
+    /// What is assumed of a sender whose report is out of date: it used nothing since.
     pub fn idle(self) -> Self {
         let Report { senders, designated, .. } = self;
         Report { senders, designated, spare: designated, ..Report::default() }
--- a/src/waits.rs
+++ b/src/waits.rs
@@ -1,29 +1,35 @@
-//! How long the program around the decisions waits for others, in microseconds. No message's way is decided by
-//! these: they bound what a silent or broken peer can hold, and the steps of a process's end.
+//! Timeouts of the program around the decisions, in microseconds. They decide nothing about any message: they
+//! bound what a silent or broken peer can hold, and how long the steps of a shutdown may take.
 
 use crate::interface::Micros;
 
-/// For news of the list: what discovery may hold an answer back for while nothing changes. What it has counts as told
-/// after 6 s, so that with [`ANSWER`] beside it a silent question is put again before.
+/// Timeout for a pending change of the host list: discovery may hold its answer back this long while nothing
+/// changes. Discovery counts what it has sent as received after 6 s, so together with [`ANSWER`] an
+/// unanswered request is repeated before that.
 pub const LIST: Micros = 5_000_000;
-/// The same where a silent question is given up, after [`LIST_ANSWER`] more, before another is put.
+/// The same timeout where an unanswered request is abandoned, after another [`LIST_ANSWER`], before the next
+/// one is sent.
 pub const LIST_ALONE: Micros = 2_500_000;
-/// For an answer about the list after the first: an overloaded discovery has a call in line for 2 s.
+/// Timeout for each answer about the list after the first: an overloaded discovery keeps a queued call for 2
+/// s.
 pub const LIST_ANSWER: Micros = 2_500_000;
-/// For the first answer about the list, the longest for one to a notice, and for the rest of any answer that has begun.
+/// Timeout for the first answer about the list, the longest timeout for the answer to a notice, and the
+/// timeout for the rest of any answer that has begun.
 pub const ANSWER: Micros = 500_000;
-/// For the first answer to a notice, twice as long for each next: the platform answers at once. What is told as its time
-/// ends, a silent connection between, is lost half a second later.
+/// Timeout for the first answer to a notice, doubled for each further attempt: the platform answers at once.
+/// A notice that is sent as its time runs out, after one attempt on a silent connection, is lost half a
+/// second later.
 pub const NOTICE: Micros = 100_000;
-/// Before what failed is tried again, and for the last bytes on a connection that closes.
+/// Delay before a failed operation is retried, and timeout for the last bytes on a connection that is
+/// closing.
 pub const PAUSE: Micros = 100_000;
-/// For a client's first request and the rest of any, and for a client to take its answer.
+/// Timeout for a client's first request, for the rest of any request, and for a client to read its answer.
 pub const CLIENT: Micros = 2_000_000;
-/// For a client's next request; the platform lets idle connections be closed from 2 s on.
+/// Timeout for a client's next request; the platform allows idle connections to be closed from 2 s on.
 pub const CLIENT_IDLE: Micros = 5_000_000;
-/// Once asked to stop, how long what still comes is taken on, and how long the stop may take in all. The platform
-/// sends new connections for up to 0.4 s and kills 3.7 s after the first signal.
+/// How long new work is still accepted after a stop request, and how long the stop may take in all. The
+/// platform sends new connections for up to 0.4 s and kills the process 3.7 s after the first signal.
 pub const STOP_TAKING: Micros = 2_000_000;
 pub const STOP_WITHIN: Micros = 3_300_000;
-/// How long a stop may take while a new process waits to take the journal over.
+/// How long a stop may take while a new process waits to take over the journal.
 pub const HAND_OVER: Micros = 1_000_000;
