--- a/src/brain/mod.rs
+++ b/src/brain/mod.rs
@@ -1,15 +1,14 @@
-//! Every decision of a sender. Its types, events and actions stand in `src/interface`.
-//! The ordinary path is the permit pool of docs/design.md: senders pace each limited route to their shares of
-//! a pool, and each round the surplus of underusers passes to those that used all. The rest guards it.
+//! All decisions of a sender; `src/interface` has the types. Normally, senders limit calls on each limited
+//! route to shares of a permit pool (docs/design.md); each round, surplus passes to those that used all.
 
+mod admission;
+mod backoff;
 mod choice;
 mod connections;
 mod health;
 mod list;
-mod pauses;
 mod peers;
-mod returns;
-mod room;
+mod recovery;
 mod shares;
 
 use std::collections::BTreeMap;
@@ -20,44 +19,41 @@
 
 pub use shares::reallocate;
 
-// What the modules take from each other.
-use connections::{KEEP_CUT, KEEP_REGROWTH};
-use health::{patience, suspect};
-use pauses::pause;
+use backoff::backoff;
+use connections::{IDLE_CUT, IDLE_GROWTH};
+use health::{is_suspect, max_silence};
 use peers::{HOMES, homes};
-use returns::MOSTLY;
-use shares::{BURST, LEAST_POOL, bind, pace, report, settle, source};
+use recovery::OUTAGE_RATE;
+use shares::{BURST, MIN_POOL, pace, report, source, start_limiting, update_share};
 
-/// Round of the reallocation (us); the design's default.
+/// Length of a reallocation round (us); the design's default.
 const ROUND: Micros = 2_000_000;
-/// Age at which a peer's report counts no more (us); the design's default, three rounds.
-const EXPIRY: Micros = 3 * ROUND;
-/// Age up to which a report tells of the last round (us): a round, and time for it to come.
-const FRESH: Micros = ROUND + ROUND / 4;
-/// Trouble at which a host is opened: failures in a row, most calls failing, or senders that tell of some.
+/// Age at which a peer's report expires (us); the design's default, three rounds.
+const REPORT_EXPIRY: Micros = 3 * ROUND;
+/// Age up to which a report describes the last round (us): a round, and time for the report to arrive.
+const REPORT_FRESH: Micros = ROUND + ROUND / 4;
+/// Failure score at which a host opens: failures in a row, most calls failing, or senders reporting some.
 const TRIP: f64 = 2.0;
-/// Weight of a new sample in a mean.
-const SAMPLE: f64 = 0.15;
-/// Answer time taken for a route that has not answered yet (us).
-const FIRST_GUESS: f64 = 300_000.0;
-/// Time between looks at what is held (us).
-const LOOK: Micros = 25_000;
+const SAMPLE_WEIGHT: f64 = 0.15;
+/// Answer time assumed for a route that has not answered yet (us).
+const INITIAL_ANSWER_TIME: f64 = 300_000.0;
+/// Time between checks of the held messages (us).
+const CHECK_INTERVAL: Micros = 25_000;
 
-/// The decisions of one sender.
 pub struct Brain {
     settings: Settings,
     seed: u64,
     now: Micros,
     state: State,
-    /// How long what waits for a destination will take to go.
-    outlook: BTreeMap<DestinationId, Micros>,
-    agenda: Agenda,
-    /// Idle time for which connections are kept, by kind, and the longest after which one was still of use.
-    keep: Vec<f64>,
-    proven: Vec<f64>,
-    /// When a table of a host was last seen or told to be full, by kind.
-    crowded_at: Vec<Option<Micros>>,
-    /// When the caller stops; what is out by then is cut off.
+    /// Estimated time until the messages waiting for a destination are sent.
+    drain_times: BTreeMap<DestinationId, Micros>,
+    timers: Timers,
+    /// Maximum idle time of connections, by kind, and the longest idle time after which one still worked.
+    max_idle: Vec<f64>,
+    reused_idle: Vec<f64>,
+    /// When a host's connection table was last found or reported full, by kind.
+    full_at: Vec<Option<Micros>>,
+    /// When the caller stops; calls in flight are cut off then.
     stop_at: Micros,
     actions: Vec<Action>,
 }
@@ -68,56 +64,56 @@
             seed,
             now: 0,
             state: State::default(),
-            outlook: BTreeMap::new(),
-            agenda: Agenda { ask_at: settings.ask_registry.then_some(0), ..Agenda::default() },
-            keep: vec![settings.idle_close as f64; settings.kinds.len()],
-            proven: vec![0.0; settings.kinds.len()],
-            crowded_at: vec![None; settings.kinds.len()],
+            drain_times: BTreeMap::new(),
+            timers: Timers { ask_at: settings.ask_registry.then_some(0), ..Timers::default() },
+            max_idle: vec![settings.idle_close as f64; settings.kinds.len()],
+            reused_idle: vec![0.0; settings.kinds.len()],
+            full_at: vec![None; settings.kinds.len()],
             stop_at: Micros::MAX,
             actions: Vec::new(),
             settings,
         }
     }
 
-    /// Takes all events of one batch, then decides once.
+    /// Applies all events of a batch, then decides once.
     pub fn step(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
         self.now = now;
-        let mut due = now >= self.agenda.look_at;
+        let mut due = now >= self.timers.check_at;
         for event in events {
             due |= !matches!(event, Event::Timer | Event::Peer { .. });
             match event {
-                Event::Registry(news) => self.learn(news),
-                Event::Message(request) => self.take_on(request),
+                Event::Registry(news) => self.apply_registry(news),
+                Event::Message(request) => self.admit(request),
                 Event::Withdrawn(id) => self.state.withdraw(id, now),
                 Event::Timer => {}
-                Event::Stop { by } => (self.stop_at, self.agenda.round_at) = (by, by.max(ROUND) - ROUND / 2),
-                Event::Ended(ended) => self.conclude(ended),
-                Event::Opened { id, attempt } => self.look_again(id, attempt),
-                Event::Stalled { id, attempt, stalled } => self.state.stall(id, attempt, stalled),
-                Event::Probed { host, outcome, limit } => self.judge(host, outcome, now, limit),
-                Event::Peer { from, bytes } => self.hear(from, &bytes),
-                Event::Learnt(learnt) => self.recall(&learnt),
-                Event::Placed(placements) => self.state.place(placements),
-                Event::Retuned(settings) => self.settings = self.state.retuned(settings, homes),
+                Event::Stop { by } => (self.stop_at, self.timers.round_at) = (by, by.max(ROUND) - ROUND / 2),
+                Event::Ended(ended) => self.finish_attempt(ended),
+                Event::Opened { id, attempt } => self.check_again(id, attempt),
+                Event::Stalled { id, attempt, stalled } => self.state.set_stalled(id, attempt, stalled),
+                Event::Probed { host, outcome, limit } => self.observe(host, outcome, now, limit),
+                Event::Peer { from, bytes } => self.handle_peer(from, &bytes),
+                Event::Learnt(learnt) => self.restore_learnt(&learnt),
+                Event::Placed(placements) => self.state.set_placements(placements),
+                Event::Retuned(settings) => self.settings = self.state.apply_settings(settings, homes),
             }
         }
-        if self.agenda.ask_at.take_if(|at| *at <= now).is_some() {
+        if self.timers.ask_at.take_if(|at| *at <= now).is_some() {
             self.actions.push(Action::Subscribe);
         }
-        if now >= self.agenda.round_at {
+        if now >= self.timers.round_at {
             self.close_rounds();
         }
-        if now >= self.agenda.look_at {
-            self.agenda.look_at = now + LOOK;
-            self.look_ahead();
-            self.watch_health();
+        if now >= self.timers.check_at {
+            self.timers.check_at = now + CHECK_INTERVAL;
+            self.estimate_drain();
+            self.open_silent_hosts();
         }
         if due {
             self.expire();
             self.shed();
             self.dispatch();
         }
-        self.actions.extend(self.agenda.wake(self.state.messages.is_empty(), now).map(Action::Wake));
+        self.actions.extend(self.timers.next_wake(self.state.messages.is_empty(), now).map(Action::Wake));
         std::mem::take(&mut self.actions)
     }
 }
--- a/src/state/calls.rs
+++ b/src/state/calls.rs
@@ -30,7 +30,7 @@
     }
 
     /// A call to a destination, opened in this batch of events, that another message may join.
-    pub fn bundle(&self, destination: DestinationId, now: Micros) -> Option<(HostId, u64)> {
+    pub fn joinable_call(&self, destination: DestinationId, now: Micros) -> Option<(HostId, u64)> {
         let to = |id: HostId| self.hosts.get(&id).is_some_and(|host| host.route.0 == destination);
         let latest = self.calls.iter().rev().take_while(|(_, call)| call.sent_at == now);
         let mut open = latest.filter(|(_, call)| call.room > 0 && to(call.host));
@@ -40,7 +40,7 @@
     /// Records a new call to a known host.
     pub fn open_call(&mut self, id: HostId, now: Micros, settings: &Settings) -> Option<u64> {
         let (host, route) = self.host_and_route(id)?;
-        if route.bound {
+        if route.is_limited {
             route.tokens -= 1.0;
         }
         route.used += 1.0;
@@ -70,7 +70,7 @@
     }
 
     /// Records that the call of an attempt is being written; no message may join it any more.
-    pub fn write(&mut self, id: MessageId, now: Micros) {
+    pub fn mark_written(&mut self, id: MessageId, now: Micros) {
         let out = self.messages.get_mut(&id).and_then(|message| message.out.as_mut());
         let Some(out) = out else { return };
         out.sent_at = now;
@@ -80,7 +80,7 @@
     }
 
     /// Undoes an attempt of which nothing was written: neither the attempt nor its permit counts.
-    pub fn withhold(&mut self, id: MessageId, attempt: u32, now: Micros) {
+    pub fn undo_attempt(&mut self, id: MessageId, attempt: u32, now: Micros) {
         let carrier = Some(Carrier { idle_for: None, kept: true });
         let (outcome, took, closed, limit) = (Outcome::Moot, 0, false, None);
         let ended = Ended { id, attempt, outcome, took, closed, limit, carrier };
@@ -89,12 +89,12 @@
             message.attempts -= 1;
         }
         if let Some((_, route)) = self.host_and_route(out.host) {
-            route.give_back();
+            route.return_token();
         }
     }
 
     /// Records whether part of an attempt's call waits to be written.
-    pub fn stall(&mut self, id: MessageId, attempt: u32, stalled: bool) {
+    pub fn set_stalled(&mut self, id: MessageId, attempt: u32, stalled: bool) {
         let out = self.messages.get_mut(&id).and_then(|message| message.out.as_mut());
         if let Some(out) = out.filter(|out| out.number == attempt) {
             out.stalled = stalled;
@@ -117,7 +117,7 @@
         if let Some(entry) = message.request.key.and_then(|key| self.keys.get_mut(&key))
             && outcome.may_still_run()
         {
-            entry.rest_until = now + rest;
+            entry.paused_until = now + rest;
         }
         let call = self.calls.get_mut(&attempt.call)?;
         call.members -= 1;
@@ -139,8 +139,8 @@
                 }
             }
         }
-        if ended.closed || self.messages.get(&ended.id).is_some_and(|message| message.over) {
-            self.end(ended.id, now);
+        if ended.closed || self.messages.get(&ended.id).is_some_and(|message| message.finished) {
+            self.finish(ended.id, now);
         }
         Some((attempt, first, idle_for))
     }
@@ -165,16 +165,16 @@
 
     /// Records a successful call; `weight` is its weight in the moving average. Success also shows that the
     /// host is up, whatever the homes decided.
-    pub fn serve(&mut self, id: HostId, now: Micros, weight: f64) {
+    pub fn record_success(&mut self, id: HostId, now: Micros, weight: f64) {
         if let Some(host) = self.hosts.get_mut(&id) {
-            host.trouble /= 2.0;
-            (host.ok_at, host.verdict_at) = (now, 0);
-            host.failing -= host.failing * weight;
+            host.failure_score /= 2.0;
+            (host.ok_at, host.declared_down_at) = (now, 0);
+            host.failure_rate -= host.failure_rate * weight;
         }
     }
 
     /// Records whether a call visibly failed.
-    pub fn mark(&mut self, id: HostId, failed: bool) {
+    pub fn mark_failed(&mut self, id: HostId, failed: bool) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.failed |= failed;
         }
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -29,17 +29,17 @@
     /// again since.
     pub cold: bool,
     /// Sum of weighted failures, halved by each success.
-    pub trouble: f64,
+    pub failure_score: f64,
     /// When the present series of failures began, and when the last failure was seen.
-    pub bad_since: Micros,
-    pub bad_at: Micros,
+    pub failing_since: Micros,
+    pub last_failure_at: Micros,
     /// Senders that recently reported this host as failing, and when; kept at the homes of its route, the
     /// senders that collect its reports.
-    pub accusers: BTreeMap<u16, Micros>,
+    pub failure_reports: BTreeMap<u16, Micros>,
     /// When the homes last declared the host down; 0 if it is not.
-    pub verdict_at: Micros,
+    pub declared_down_at: Micros,
     /// When the homes last announced the host's health, up or down.
-    pub worded_at: Micros,
+    pub last_verdict_at: Micros,
     /// A call visibly failed in the present series of failures, not just took long.
     pub failed: bool,
     /// When the host last showed a sign of life, and when a call last succeeded.
@@ -47,10 +47,10 @@
     pub ok_at: Micros,
     /// Failed connection attempts since the last successful call, and the time before which no new connection
     /// is tried for that reason.
-    pub unmet: u32,
-    pub shut_until: Micros,
+    pub failed_connects: u32,
+    pub connect_retry_at: Micros,
     /// Moving average of the share of calls that failed.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// A trial call is in flight.
     pub trial: bool,
     /// Calls in flight.
@@ -62,7 +62,7 @@
     pub idle: Vec<Micros>,
     /// Tokens of a host whose breaker is open or that is cold, and when they were last refilled.
     pub cold_tokens: f64,
-    pub cold_at: Micros,
+    pub refilled_at: Micros,
 }
 
 impl Host {
@@ -71,33 +71,33 @@
     }
 
     /// Records the sender that reported the host as failing, if one did; reports count until they expire.
-    pub fn accuse(&mut self, by: Option<u16>, expiry: Micros, now: Micros) {
-        self.accusers.retain(|_, at| *at + expiry > now);
-        self.accusers.extend(by.map(|by| (by, now)));
+    pub fn add_failure_report(&mut self, by: Option<u16>, expiry: Micros, now: Micros) {
+        self.failure_reports.retain(|_, at| *at + expiry > now);
+        self.failure_reports.extend(by.map(|by| (by, now)));
     }
 
     /// Refills the tokens up to now at `pace` calls per second, while the host is open or cold; at most one
     /// is saved up.
-    pub fn fill(&mut self, pace: f64, now: Micros) {
-        self.cold_tokens = (self.cold_tokens + pace * seconds(now - self.cold_at)).min(1.0);
-        self.cold_at = now;
+    pub fn refill(&mut self, pace: f64, now: Micros) {
+        self.cold_tokens = (self.cold_tokens + pace * seconds(now - self.refilled_at)).min(1.0);
+        self.refilled_at = now;
     }
 
     /// Records the homes' decision on the host's health.
-    pub fn word(&mut self, up: bool, now: Micros) {
-        (self.verdict_at, self.worded_at) = (if up { 0 } else { now }, now);
+    pub fn set_verdict(&mut self, up: bool, now: Micros) {
+        (self.declared_down_at, self.last_verdict_at) = (if up { 0 } else { now }, now);
         if up {
-            self.accusers.clear();
+            self.failure_reports.clear();
         }
     }
 
     /// Records failures that began at `since`. Series of failures less than `apart` apart count as one, and
     /// so do all failures until the breaker closes.
-    pub fn ail(&mut self, weight: f64, since: Micros, now: Micros, apart: Micros) {
-        self.trouble += weight;
-        if self.health == Health::Closed && since > self.bad_at + apart {
-            (self.bad_since, self.failed) = (since, false);
+    pub fn record_failure(&mut self, weight: f64, since: Micros, now: Micros, apart: Micros) {
+        self.failure_score += weight;
+        if self.health == Health::Closed && since > self.last_failure_at + apart {
+            (self.failing_since, self.failed) = (since, false);
         }
-        self.bad_at = now;
+        self.last_failure_at = now;
     }
 }
--- a/src/state/listing.rs
+++ b/src/state/listing.rs
@@ -17,7 +17,7 @@
         healthy.map(|(id, _)| id).collect()
     }
 
-    pub fn of_kind(&self, kind: usize) -> Vec<HostId> {
+    pub fn hosts_of_kind(&self, kind: usize) -> Vec<HostId> {
         self.hosts.iter().filter(|(_, host)| host.kind == kind).map(|(id, _)| *id).collect()
     }
 
@@ -51,7 +51,7 @@
 
     /// Applies entries of the registry's list; a host missing from a `whole` list is gone. `new` makes the
     /// route of a destination not seen before, or of a host whose kind has a route per host.
-    pub fn list(
+    pub fn apply_listing(
         &mut self, entries: &[Listed], whole: bool, settings: &Settings, new: impl Fn(RouteId) -> Route,
         now: Micros,
     ) {
@@ -63,7 +63,7 @@
             let apart = settings.kinds[entry.kind].routes_apart;
             let route = (entry.destination, apart.then_some(entry.host));
             if entry.lifecycle != Lifecycle::Gone {
-                self.routes.entry(route).or_insert_with(|| Route { filled_at: now, ..new(route) });
+                self.routes.entry(route).or_insert_with(|| Route { refilled_at: now, ..new(route) });
                 let new =
                     Host { route, kind: entry.kind, zone: entry.zone, heard_at: now, ..Host::default() };
                 let host = self.hosts.entry(entry.host).or_insert(new);
@@ -90,7 +90,7 @@
     /// Returns the new settings after updating which routes this sender is a home of, given the new number of
     /// senders. Without this, a sender that is no longer a home takes the whole limit for itself, as it
     /// receives no reports.
-    pub fn retuned(
+    pub fn apply_settings(
         &mut self, settings: Settings, homes: impl Fn(DestinationId, u16, Micros) -> Vec<u16>,
     ) -> Settings {
         for (id, route) in &mut self.routes {
@@ -101,7 +101,7 @@
     }
 
     /// Gives a host that was never used the health of its route's other hosts, if all of those are open.
-    pub fn inherit(&mut self, id: HostId, tokens: f64, now: Micros) {
+    pub fn inherit_health(&mut self, id: HostId, tokens: f64, now: Micros) {
         let Some(host) = self.hosts.get(&id) else { return };
         let used = host.ok_at > 0 || host.calls > 0 || host.health != Health::Closed;
         let others = self.hosts_of(host.route.0).filter(|(other, _)| *other != id);
@@ -109,11 +109,13 @@
         if used || of_route.is_empty() || !of_route.iter().all(|other| other.is_open()) {
             return;
         }
-        let Host { bad_since, bad_at, verdict_at, trouble, failed, .. } = *of_route[0];
+        let Host { failing_since, last_failure_at, declared_down_at, failure_score, failed, .. } =
+            *of_route[0];
         if let Some(host) = self.hosts.get_mut(&id) {
-            (host.health, host.cold_tokens, host.cold_at) = (Health::Open, tokens, now);
-            (host.bad_since, host.bad_at, host.verdict_at) = (bad_since, bad_at, verdict_at);
-            (host.trouble, host.failed) = (trouble, failed);
+            (host.health, host.cold_tokens, host.refilled_at) = (Health::Open, tokens, now);
+            (host.failing_since, host.last_failure_at, host.declared_down_at) =
+                (failing_since, last_failure_at, declared_down_at);
+            (host.failure_score, host.failed) = (failure_score, failed);
         }
     }
 
@@ -177,7 +179,7 @@
             let (first, whole) = (listed(number, Lifecycle::Ready), number % 2 == 0);
             let gone = listed(number.saturating_sub(1), Lifecycle::Gone);
             let entries = if whole || number == 0 { vec![first] } else { vec![gone, first] };
-            state.list(&entries, whole, &settings, |_| Route::default(), number);
+            state.apply_listing(&entries, whole, &settings, |_| Route::default(), number);
             state.idle.insert(HostId(number));
         }
         assert_eq!((state.hosts.len(), state.routes.len(), state.idle.len()), (1, 1, 1));
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -25,9 +25,9 @@
     pub ran: Option<Ran>,
     /// Whether the message has its final answer; it is kept only until its attempt has an outcome and its
     /// final result is reported.
-    pub over: bool,
+    pub finished: bool,
     /// The final result has yet to be reported.
-    pub untold: bool,
+    pub unreported: bool,
 }
 
 impl Message {
@@ -55,5 +55,5 @@
 #[derive(Debug, Default)]
 pub struct KeyQueue {
     pub queue: VecDeque<MessageId>,
-    pub rest_until: Micros,
+    pub paused_until: Micros,
 }
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -8,7 +8,7 @@
 impl State {
     /// Messages that still need an answer.
     pub fn held(&self) -> impl Iterator<Item = &Message> {
-        self.messages.values().filter(|message| !message.over)
+        self.messages.values().filter(|message| !message.finished)
     }
 
     /// Messages that still need an answer and have no attempt in flight.
@@ -38,41 +38,41 @@
         if let (Some(key), true) = (request.key, settings.classes[request.class].in_order) {
             let entry = self.keys.entry(key).or_default();
             entry.queue.push_back(request.id);
-            entry.rest_until = entry.rest_until.max(cut_at.map_or(0, |at| at + settings.order_rest));
+            entry.paused_until = entry.paused_until.max(cut_at.map_or(0, |at| at + settings.order_rest));
         }
-        let message = Message { request, attempts, out: None, ran, over, untold: over };
+        let message = Message { request, attempts, out: None, ran, finished: over, unreported: over };
         self.messages.insert(request.id, message);
     }
 
     /// Records that the client needs no more answers about a message.
     pub fn withdraw(&mut self, id: MessageId, now: Micros) {
         if let Some(message) = self.messages.get_mut(&id) {
-            message.untold = false;
+            message.unreported = false;
         }
-        self.end(id, now);
+        self.finish(id, now);
     }
 
     /// Gives a message up; where final results are reported by notices, it blocks its key until then.
     pub fn give_up(&mut self, id: MessageId, by_notice: bool, now: Micros) {
         if let Some(message) = self.messages.get_mut(&id) {
-            message.untold = by_notice;
+            message.unreported = by_notice;
         }
-        self.end(id, now);
+        self.finish(id, now);
     }
 
     /// Marks a message as answered; it is kept while an attempt is in flight or its final result is
     /// unreported.
-    pub fn end(&mut self, id: MessageId, now: Micros) {
+    pub fn finish(&mut self, id: MessageId, now: Micros) {
         let Some(message) = self.messages.get_mut(&id) else { return };
-        message.over = true;
-        if message.out.is_some() || message.untold {
+        message.finished = true;
+        if message.out.is_some() || message.unreported {
             return;
         }
         let key = message.request.key;
         self.messages.remove(&id);
         if let Some((key, entry)) = key.and_then(|key| Some((key, self.keys.get_mut(&key)?))) {
             entry.queue.retain(|other| *other != id);
-            if entry.queue.is_empty() && entry.rest_until <= now {
+            if entry.queue.is_empty() && entry.paused_until <= now {
                 self.keys.remove(&key);
             }
         }
@@ -83,14 +83,14 @@
         let entry = message.request.key.and_then(|key| self.keys.get(&key));
         entry.is_none_or(|entry| {
             let listed = entry.queue.contains(&message.request.id);
-            !listed || (entry.queue.front() == Some(&message.request.id) && now >= entry.rest_until)
+            !listed || (entry.queue.front() == Some(&message.request.id) && now >= entry.paused_until)
         })
     }
 
     /// Ends a round: adds its demand to the moving average with this weight, and removes keys whose pause is
     /// over.
     pub fn end_round(&mut self, weight: f64, now: Micros) {
-        self.keys.retain(|_, entry| !entry.queue.is_empty() || entry.rest_until > now);
+        self.keys.retain(|_, entry| !entry.queue.is_empty() || entry.paused_until > now);
         for (count, mean) in self.demand.values_mut() {
             *mean += (std::mem::take(count) - *mean) * weight;
         }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,6 +1,5 @@
 //! The state of a sender and its bookkeeping. `src/brain` makes the decisions.
 
-mod agenda;
 mod calls;
 mod host;
 mod learnt;
@@ -8,21 +7,22 @@
 mod message;
 mod messages;
 mod numbers;
-mod places;
+mod placements;
 mod repeats;
 mod report;
 mod route;
+mod timers;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{DestinationId, HostId, MessageId};
 
-pub use agenda::Agenda;
 pub use host::{Health, Host};
 pub use message::{Attempt, Call, KeyQueue, Message};
 pub use numbers::{chance, scattered, seconds};
 pub use report::Report;
 pub use route::{Route, RouteId};
+pub use timers::Timers;
 
 /// The whole state of a sender.
 #[derive(Debug, Default)]
@@ -36,7 +36,7 @@
     pub demand: BTreeMap<usize, (f64, f64)>,
     /// Rank of each zone of a destination, and the part of the messages that it takes; a zone without an
     /// entry takes all.
-    places: BTreeMap<(DestinationId, u16), (u8, f64)>,
+    placements: BTreeMap<(DestinationId, u16), (u8, f64)>,
     /// The hosts of each destination.
     index: BTreeMap<DestinationId, BTreeSet<HostId>>,
     /// Hosts with idle connections.
--- a/src/state/repeats.rs
+++ b/src/state/repeats.rs
@@ -5,12 +5,12 @@
 
 impl State {
     /// Whether a message may be refused: it can safely be submitted again, whatever happened to its attempts.
-    pub fn may_refuse(message: &Message, class: &Class, now: Micros) -> bool {
+    pub fn can_refuse(message: &Message, class: &Class, now: Micros) -> bool {
         let ran = message.ran.is_some() || message.out.is_some();
         match class.effect {
             Effect::Free => true,
             Effect::Guarded { group, .. } => {
-                !ran || (group == Group::All && !State::lapsed(message, class, now))
+                !ran || (group == Group::All && !State::is_window_over(message, class, now))
             }
             Effect::SingleShot => !ran,
         }
@@ -18,14 +18,14 @@
 
     /// Whether a message may go to a host without taking effect twice: hosts that drop repeats only within
     /// their own zone would run it again in another.
-    pub fn may_reach(message: &Message, class: &Class, host: &Host) -> bool {
+    pub fn is_safe_at(message: &Message, class: &Class, host: &Host) -> bool {
         !class.is_zoned() || message.ran.is_none_or(|ran| ran.zone == Some(host.zone))
     }
 
     /// Whether the deduplication window of a guarded message that may have run is over at `at`. A call in
     /// flight counts: it may have run long ago, and a message refused after its window would run twice when
     /// it is submitted again.
-    pub fn lapsed(message: &Message, class: &Class, at: Micros) -> bool {
+    pub fn is_window_over(message: &Message, class: &Class, at: Micros) -> bool {
         let ran = message.ran.map(|ran| ran.at).or(message.out.map(|out| out.sent_at));
         match class.effect {
             Effect::Guarded { window, .. } => ran.is_some_and(|ran| at >= ran + window),
@@ -34,7 +34,7 @@
     }
 
     /// The time by which a call must end: the message's deadline, or the end of its deduplication window.
-    pub fn until(message: &Message, class: &Class) -> Micros {
+    pub fn call_deadline(message: &Message, class: &Class) -> Micros {
         let deadline = message.request.deadline;
         match class.effect {
             Effect::Guarded { window, .. } => {
