--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -1,58 +1,59 @@
-//! Frames of the simulator's wire: big-endian records of fixed size with a tail for what varies.
+//! Frames of the simulator's wire protocol: big-endian records of fixed size, and a tail for variable-length
+//! data.
 
 use std::fmt;
 use std::io::{self, Read, Write};
 
 use pewterseam_settings::Malformed;
 
-/// Bytes of a batch header: record count, frame size, clock.
+/// Size of a batch header in bytes: record count, frame size, clock.
 pub const BATCH_HEADER: usize = 16;
-/// Bytes of a reply header: frame size, record count.
+/// Size of a reply header in bytes: frame size, record count.
 pub const REPLY_HEADER: usize = 8;
-/// Bytes of an event record.
+/// Size of an event record in bytes.
 pub const EVENT_SIZE: usize = 56;
-/// Bytes of an action record.
+/// Size of an action record in bytes.
 pub const ACTION_SIZE: usize = 32;
-/// Bytes of an entry of a host list.
+/// Size of a host list entry in bytes.
 pub const ENTRY_SIZE: usize = 24;
-/// Host lists that may be defined at once.
+/// Maximum number of host lists defined at once.
 pub const LISTS: usize = 16;
 
-/// What is wrong with the input.
+/// An input that can't be processed.
 #[derive(Debug)]
-pub enum Fault {
+pub enum WireError {
     Io(io::Error),
     Frame(String),
     Settings(Malformed),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Io(error) => write!(f, "input or output failed: {error}"),
-            Fault::Frame(text) => write!(f, "malformed frame: {text}"),
-            Fault::Settings(error) => write!(f, "malformed settings: {error}"),
+            WireError::Io(error) => write!(f, "input or output failed: {error}"),
+            WireError::Frame(text) => write!(f, "malformed frame: {text}"),
+            WireError::Settings(error) => write!(f, "malformed settings: {error}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for WireError {}
 
-impl From<Malformed> for Fault {
+impl From<Malformed> for WireError {
     fn from(error: Malformed) -> Self {
-        Fault::Settings(error)
+        WireError::Settings(error)
     }
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for WireError {
     fn from(error: io::Error) -> Self {
-        Fault::Io(error)
+        WireError::Io(error)
     }
 }
 
-/// Shorthand for a malformed frame.
-pub fn malformed<T>(text: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault::Frame(text.into()))
+/// Returns the error for a malformed frame.
+pub fn malformed<T>(text: impl Into<String>) -> Result<T, WireError> {
+    Err(WireError::Frame(text.into()))
 }
 
 /// A read-only view of one record or entry.
@@ -90,13 +91,13 @@
         f64::from_be_bytes(self.bytes(at))
     }
 
-    /// Six bytes of address and port, as one number.
+    /// The host's address and port, six bytes as one number.
     pub fn host(self, at: usize) -> u64 {
         self.bytes::<6>(at).iter().fold(0, |host, byte| host << 8 | u64::from(*byte))
     }
 }
 
-/// One batch as it came.
+/// One received batch of events.
 pub struct Batch {
     pub clock_s: f64,
     records: usize,
@@ -104,8 +105,8 @@
 }
 
 impl Batch {
-    /// Reads the next batch; none at the end of input.
-    pub fn read(input: &mut impl Read) -> Result<Option<Self>, Fault> {
+    /// Reads the next batch; `None` at the end of input.
+    pub fn read(input: &mut impl Read) -> Result<Option<Self>, WireError> {
         let mut header = [0; BATCH_HEADER];
         let mut have = 0;
         while have < BATCH_HEADER {
@@ -120,7 +121,7 @@
         let fields = Fields(&header);
         let (records, size, clock_s) = (fields.u32(0) as usize, fields.u32(4) as usize, fields.f64(8));
         if !clock_s.is_finite() || clock_s < 0.0 {
-            return malformed(format!("the clock reads {clock_s}"));
+            return malformed(format!("invalid clock value {clock_s}"));
         }
         if records
             .checked_mul(EVENT_SIZE)
@@ -137,13 +138,12 @@
         Ok(Some(Batch { clock_s, records, body }))
     }
 
-    /// The records in order.
     pub fn records(&self) -> impl Iterator<Item = Fields<'_>> {
         self.body[..self.records * EVENT_SIZE].chunks_exact(EVENT_SIZE).map(Fields)
     }
 
-    /// `count` items of `size` bytes of the tail, as named by the field at `at`.
-    pub fn tail(&self, record: Fields<'_>, at: usize, size: usize) -> Result<&[u8], Fault> {
+    /// The items of `size` bytes in the tail; the field at `at` holds their offset and count.
+    pub fn tail(&self, record: Fields<'_>, at: usize, size: usize) -> Result<&[u8], WireError> {
         let (offset, count) = (record.u32(at) as usize, record.u32(at + 4) as usize);
         let start = (self.records * EVENT_SIZE).checked_add(offset);
         let end = count.checked_mul(size).and_then(|length| start?.checked_add(length));
@@ -161,7 +161,7 @@
     tail: Vec<u8>,
 }
 
-/// One action record being filled in.
+/// One action record under construction.
 pub struct Record([u8; ACTION_SIZE]);
 
 impl Record {
@@ -184,7 +184,7 @@
         self.records.push(record.0);
     }
 
-    /// Adds a record whose field at `at` names `content` in the tail.
+    /// Adds a record and puts `content` into the tail; the field at `at` gets its offset and length.
     pub fn push_with(&mut self, record: Record, at: usize, content: &[u8]) {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(content);
--- a/crates/adapter/src/instances.rs
+++ b/crates/adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instances that this process hosts, and the translation between the wire's words and ours.
+//! The sender instances of this process, and the translation between wire records and the core crate's types.
 
 use std::collections::BTreeMap;
 use std::panic::{self, AssertUnwindSafe};
@@ -11,12 +11,12 @@
 
 use pewterseam_settings::time::{micros, seconds};
 
-use crate::codec::{Batch, ENTRY_SIZE, Fault, Fields, LISTS, Record, Reply, malformed};
+use crate::codec::{Batch, ENTRY_SIZE, Fields, LISTS, Record, Reply, WireError, malformed};
 
-/// Marks a peer message for every peer.
-const EVERY_PEER: u32 = u32::MAX;
+/// Peer number that addresses a message to every peer.
+const ALL_PEERS: u32 = u32::MAX;
 
-/// One instance with the events of the current batch.
+/// One instance, with its events of the current batch.
 struct Instance {
     brain: Brain,
     kinds: usize,
@@ -24,7 +24,7 @@
     events: Vec<Event>,
 }
 
-/// All instances of the process, each on its own.
+/// All instances of the process, independent of each other.
 #[derive(Default)]
 pub struct Instances {
     running: BTreeMap<u32, Instance>,
@@ -32,11 +32,11 @@
 }
 
 impl Instances {
-    /// Hands a batch to the instances it names and gathers their actions.
-    pub fn answer(&mut self, batch: &Batch) -> Result<Reply, Fault> {
+    /// Passes a batch to the instances that it names and collects their actions.
+    pub fn answer(&mut self, batch: &Batch) -> Result<Reply, WireError> {
         let now = wire_time(batch.clock_s)?;
         for record in batch.records() {
-            self.take(batch, record)?;
+            self.apply_record(batch, record)?;
         }
         let mut reply = Reply::default();
         for (number, instance) in &mut self.running {
@@ -46,7 +46,7 @@
             let events = std::mem::take(&mut instance.events);
             let brain = &mut instance.brain;
             match panic::catch_unwind(AssertUnwindSafe(|| brain.step(now, events))) {
-                Ok(actions) => actions.into_iter().for_each(|action| write(&mut reply, *number, action)),
+                Ok(actions) => actions.into_iter().for_each(|action| encode(&mut reply, *number, action)),
                 Err(cause) => {
                     let text = cause.downcast_ref::<String>().map(String::as_str);
                     let text = text.or(cause.downcast_ref::<&str>().copied()).unwrap_or("panic");
@@ -57,7 +57,7 @@
         Ok(reply)
     }
 
-    fn take(&mut self, batch: &Batch, record: Fields<'_>) -> Result<(), Fault> {
+    fn apply_record(&mut self, batch: &Batch, record: Fields<'_>) -> Result<(), WireError> {
         let number = record.u32(1);
         match record.u8(0) {
             4 => {
@@ -67,21 +67,21 @@
                 self.running.insert(number, Instance { brain, kinds, classes, events: Vec::new() });
                 Ok(())
             }
-            5 => self.define(record.u16(1), batch.tail(record, 3, ENTRY_SIZE)?),
+            5 => self.define_list(record.u16(1), batch.tail(record, 3, ENTRY_SIZE)?),
             6 if self.running.remove(&number).is_some() => Ok(()),
-            6 => unknown(number),
+            6 => unknown_instance(number),
             code => {
                 let event = self.event(batch, code, record)?;
                 match self.running.get_mut(&number) {
                     Some(instance) => instance.events.push(event),
-                    None => return unknown(number),
+                    None => return unknown_instance(number),
                 }
                 Ok(())
             }
         }
     }
 
-    fn define(&mut self, list: u16, entries: &[u8]) -> Result<(), Fault> {
+    fn define_list(&mut self, list: u16, entries: &[u8]) -> Result<(), WireError> {
         let Some(slot) = self.lists.get_mut(usize::from(list)) else {
             return malformed(format!("list number {list} is above {}", LISTS - 1));
         };
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    fn event(&self, batch: &Batch, code: u8, record: Fields<'_>) -> Result<Event, Fault> {
+    fn event(&self, batch: &Batch, code: u8, record: Fields<'_>) -> Result<Event, WireError> {
         Ok(match code {
             1 => Event::Peer { from: record.u16(5), bytes: batch.tail(record, 7, 1)?.to_vec() },
             3 => Event::Probed {
@@ -110,13 +110,13 @@
                 carrier: None,
             }),
             10 => Event::Message(self.request(record)?),
-            // A stream's start: the attempt is the client's, and its outcome still follows.
+            // The start of a stream: the client makes the attempt, and its outcome still follows.
             2 | 11 => Event::Timer,
             other => return malformed(format!("unknown event code {other}")),
         })
     }
 
-    fn request(&self, record: Fields<'_>) -> Result<Request, Fault> {
+    fn request(&self, record: Fields<'_>) -> Result<Request, WireError> {
         let class = usize::from(record.u8(34));
         if self.running.get(&record.u32(1)).is_some_and(|instance| class >= instance.classes) {
             return malformed(format!("class {class} is not in the settings"));
@@ -132,7 +132,7 @@
         })
     }
 
-    fn registry(&self, record: Fields<'_>) -> Result<RegistryNews, Fault> {
+    fn registry(&self, record: Fields<'_>) -> Result<RegistryNews, WireError> {
         let scope = record.u8(5);
         if scope == 3 {
             return Ok(RegistryNews::Failed);
@@ -153,15 +153,15 @@
     }
 }
 
-fn unknown(number: u32) -> Result<(), Fault> {
+fn unknown_instance(number: u32) -> Result<(), WireError> {
     malformed(format!("instance {number} was never created"))
 }
 
-fn wire_time(value: f64) -> Result<Micros, Fault> {
-    micros(value).map_or_else(|| malformed(format!("{value} is no time")), Ok)
+fn wire_time(value: f64) -> Result<Micros, WireError> {
+    micros(value).map_or_else(|| malformed(format!("{value} is not a valid time")), Ok)
 }
 
-fn listed(entry: Fields<'_>) -> Result<Listed, Fault> {
+fn listed(entry: Fields<'_>) -> Result<Listed, WireError> {
     Ok(Listed {
         host: HostId(entry.host(0)),
         zone: entry.u16(6),
@@ -177,7 +177,7 @@
     })
 }
 
-fn outcome(code: u8, note: u32) -> Result<Outcome, Fault> {
+fn outcome(code: u8, note: u32) -> Result<Outcome, WireError> {
     Ok(match code {
         10 => Outcome::Ok,
         20 => Outcome::Error,
@@ -191,8 +191,8 @@
     })
 }
 
-/// The second reported value is the limit in calls a second, of which the first says what share is left; 0 says
-/// that there is none.
+/// The second reported value is the limit in calls per second, and the first the share of it that is left; a
+/// limit of 0 means none.
 fn limit(record: Fields<'_>, at: usize) -> Option<Allowance> {
     let rate =
         Some(record.f32(at + 5)).filter(|rate| record.u8(at) >= 2 && rate.is_finite() && *rate > 0.0)?;
@@ -200,7 +200,7 @@
     Some(Allowance { rate, left })
 }
 
-fn write(reply: &mut Reply, number: u32, action: Action) {
+fn encode(reply: &mut Reply, number: u32, action: Action) {
     match action {
         Action::Send { id, host, timeout, .. } => reply.push(
             Record::new(5, number)
@@ -208,7 +208,7 @@
                 .host(13, host.0)
                 .put(19, &seconds(timeout).to_be_bytes()),
         ),
-        // On this wire connections open by themselves, and nothing is written late.
+        // On this wire connections open without an event, so nothing is written late.
         Action::Write { .. } | Action::Withhold { .. } => {}
         Action::Cancel { id, attempt } => {
             reply.push(Record::new(3, number).put(5, &id.0.to_be_bytes()).put(13, &[attempt as u8]));
@@ -220,8 +220,8 @@
         Action::Probe(host) => reply.push(Record::new(11, number).host(5, host.0)),
         Action::CloseIdle(host) => reply.push(Record::new(10, number).host(5, host.0)),
         Action::Tell { to, bytes } => {
-            let whom = to.map_or(EVERY_PEER, u32::from);
-            reply.push_with(Record::new(6, number).put(5, &whom.to_be_bytes()), 9, &bytes);
+            let receiver = to.map_or(ALL_PEERS, u32::from);
+            reply.push_with(Record::new(6, number).put(5, &receiver.to_be_bytes()), 9, &bytes);
         }
         Action::Subscribe => reply.push(Record::new(4, number).put(5, &[1])),
         Action::Wake(at) => reply.push(Record::new(12, number).put(5, &seconds(at).to_be_bytes())),
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,20 +1,20 @@
 use std::io::{self, BufReader};
 use std::process::ExitCode;
 
-use pewterseam_adapter::codec::{Batch, Fault};
+use pewterseam_adapter::codec::{Batch, WireError};
 use pewterseam_adapter::instances::Instances;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("pewterseam-adapter: {fault}");
+        Err(error) => {
+            eprintln!("pewterseam-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), Fault> {
+fn run() -> Result<(), WireError> {
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut instances = Instances::default();
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,10 +1,10 @@
-//! Frames of our own, both ways: well-formed, cut short and corrupt, and once through the built binary.
+//! Frames in both directions: well-formed, truncated and corrupt, and once through the built binary.
 
 use std::io::Write;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::{Command, Stdio};
 
-use pewterseam_adapter::codec::{ACTION_SIZE, Batch, EVENT_SIZE, Fault, REPLY_HEADER, Record, Reply};
+use pewterseam_adapter::codec::{ACTION_SIZE, Batch, EVENT_SIZE, REPLY_HEADER, Record, Reply, WireError};
 use pewterseam_adapter::instances::Instances;
 use pewterseam_settings::time::{micros, seconds};
 use proptest::prelude::*;
@@ -39,7 +39,7 @@
         self
     }
 
-    /// Adds content to the tail and gives the field that names it.
+    /// Adds content to the tail and returns the field that refers to it.
     fn content(&mut self, bytes: &[u8], count: u32) -> [u8; 8] {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(bytes);
@@ -92,13 +92,13 @@
     }
 }
 
-/// A frame that starts an instance, lists a host and hands in a message.
+/// A frame that creates an instance, lists a host and submits a message.
 fn opening() -> Frame {
     Frame::default().create(3, SETTINGS).list(0, 2, 0).registry(3, 0, 0).request(3, 77, 15.0)
 }
 
-/// Answers frames and gives the records of the last reply.
-fn answer(instances: &mut Instances, bytes: &[u8]) -> Result<Vec<Vec<u8>>, Fault> {
+/// Processes frames and returns the records of the last reply.
+fn process(instances: &mut Instances, bytes: &[u8]) -> Result<Vec<Vec<u8>>, WireError> {
     let mut input = bytes;
     let mut records = Vec::new();
     while let Some(batch) = Batch::read(&mut input)? {
@@ -112,8 +112,8 @@
     Ok(records)
 }
 
-fn fault(bytes: &[u8]) -> String {
-    answer(&mut Instances::default(), bytes).expect_err("a fault").to_string()
+fn error_text(bytes: &[u8]) -> String {
+    process(&mut Instances::default(), bytes).expect_err("a fault").to_string()
 }
 
 #[test]
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_message_is_sent_to_the_listed_host_of_its_destination() {
-    let records = answer(&mut Instances::default(), &opening().bytes(10.0)).expect("answered");
+    let records = process(&mut Instances::default(), &opening().bytes(10.0)).expect("answered");
     let sent: Vec<_> = records.iter().filter(|record| record[0] == 5).collect();
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0][1..5], 3u32.to_be_bytes());
@@ -137,43 +137,44 @@
 
 #[test]
 fn a_list_number_is_resolved_in_the_order_of_events() {
-    // The list is redefined as gone after the registry event that used it.
+    // The list is redefined, with its host gone, after the registry event that used it.
     let frame = Frame::default().create(3, SETTINGS).list(0, 2, 0).registry(3, 0, 0).list(0, 0, 0);
     let records =
-        answer(&mut Instances::default(), &frame.request(3, 1, 15.0).bytes(10.0)).expect("answered");
+        process(&mut Instances::default(), &frame.request(3, 1, 15.0).bytes(10.0)).expect("answered");
     assert!(records.iter().any(|record| record[0] == 5));
 }
 
 #[test]
-fn instances_are_kept_apart_and_a_killed_one_starts_anew() {
+fn instances_are_independent_and_a_killed_one_restarts_empty() {
     let mut instances = Instances::default();
     let frame = opening().create(4, SETTINGS).registry(4, 0, 0);
-    answer(&mut instances, &frame.bytes(10.0)).expect("answered");
+    process(&mut instances, &frame.bytes(10.0)).expect("answered");
     let again = Frame::default().event(6, &[(1, &3u32.to_be_bytes())]).create(3, SETTINGS);
     let records =
-        answer(&mut instances, &again.list(1, 2, 0).registry(3, 0, 1).bytes(10.1)).expect("answered");
+        process(&mut instances, &again.list(1, 2, 0).registry(3, 0, 1).bytes(10.1)).expect("answered");
     assert!(records.iter().all(|record| record[0] != 5 && record[1..5] == 3u32.to_be_bytes()));
     let unknown = Frame::default().event(11, &[(1, &8u32.to_be_bytes())]);
-    assert!(answer(&mut instances, &unknown.bytes(10.2)).is_err());
+    assert!(process(&mut instances, &unknown.bytes(10.2)).is_err());
 }
 
 #[test]
-fn faults_are_named() {
-    assert!(fault(&Frame::default().event(99, &[]).bytes(1.0)).contains("unknown event code 99"));
+fn malformed_input_is_described() {
+    assert!(error_text(&Frame::default().event(99, &[]).bytes(1.0)).contains("unknown event code 99"));
     assert!(
-        fault(&Frame::default().create(3, SETTINGS).registry(3, 1, 5).bytes(1.0)).contains("never defined")
+        error_text(&Frame::default().create(3, SETTINGS).registry(3, 1, 5).bytes(1.0))
+            .contains("never defined")
     );
-    assert!(fault(&Frame::default().create(3, "{}").bytes(1.0)).contains("missing field"));
-    assert!(fault(&Frame::default().list(16, 2, 0).bytes(1.0)).contains("list number 16"));
-    assert!(fault(&Frame::default().list(0, 3, 0).bytes(1.0)).contains("lifecycle 3"));
+    assert!(error_text(&Frame::default().create(3, "{}").bytes(1.0)).contains("missing field"));
+    assert!(error_text(&Frame::default().list(16, 2, 0).bytes(1.0)).contains("list number 16"));
+    assert!(error_text(&Frame::default().list(0, 3, 0).bytes(1.0)).contains("lifecycle 3"));
     let foreign_kind = Frame::default().create(3, SETTINGS).list(0, 2, 9).registry(3, 0, 0);
-    assert!(fault(&foreign_kind.bytes(1.0)).contains("kind 9"));
+    assert!(error_text(&foreign_kind.bytes(1.0)).contains("kind 9"));
     let out_of_bounds = Frame::default().event(4, &[(13, &[0, 0, 0, 9, 0, 0, 0, 9])]);
-    assert!(fault(&out_of_bounds.bytes(1.0)).contains("out of bounds"));
-    assert!(fault(&opening().bytes(f64::NAN)).contains("clock"));
+    assert!(error_text(&out_of_bounds.bytes(1.0)).contains("out of bounds"));
+    assert!(error_text(&opening().bytes(f64::NAN)).contains("clock"));
     let whole = opening().bytes(1.0);
-    assert!(fault(&whole[..7]).contains("batch header"));
-    assert!(fault(&whole[..whole.len() - 1]).contains("input ends"));
+    assert!(error_text(&whole[..7]).contains("batch header"));
+    assert!(error_text(&whole[..whole.len() - 1]).contains("input ends"));
 }
 
 #[test]
@@ -189,7 +190,7 @@
             bytes[at] = value;
         }
         bytes.truncate(cut);
-        let answered = catch_unwind(AssertUnwindSafe(|| answer(&mut Instances::default(), &bytes).is_ok()));
+        let answered = catch_unwind(AssertUnwindSafe(|| process(&mut Instances::default(), &bytes).is_ok()));
         prop_assert!(answered.is_ok());
         Ok(())
     });
@@ -225,7 +226,7 @@
     assert!(pewterseam_settings::parse(SETTINGS.replace("\"free\"", "\"odd\"").as_bytes()).is_err());
 }
 
-/// Runs the built binary on some input: its exit code, output and what it said.
+/// Runs the built binary on the input; returns its exit code, output and error text.
 fn run(input: &[u8]) -> (Option<i32>, Vec<u8>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pewterseam-adapter"))
         .stdin(Stdio::piped())
@@ -242,14 +243,17 @@
 fn the_binary_answers_over_a_pipe_and_ends_with_its_input() {
     let mut input = opening().bytes(10.0);
     input.extend(Frame::default().bytes(10.1));
-    let (code, output, said) = run(&input);
-    assert_eq!(code, Some(0), "{said}");
+    let (code, output, error_output) = run(&input);
+    assert_eq!(code, Some(0), "{error_output}");
     assert!(output.ends_with(&[0, 0, 0, 8, 0, 0, 0, 0]));
 }
 
 #[test]
-fn the_binary_names_a_fault_on_one_line_and_fails() {
-    let (code, _, said) = run(&opening().bytes(10.0)[..40]);
+fn the_binary_describes_malformed_input_on_one_line_and_fails() {
+    let (code, _, error_output) = run(&opening().bytes(10.0)[..40]);
     assert_eq!(code, Some(1));
-    assert!(said.starts_with("pewterseam-adapter: malformed frame") && said.lines().count() == 1, "{said}");
+    assert!(
+        error_output.starts_with("pewterseam-adapter: malformed frame") && error_output.lines().count() == 1,
+        "{error_output}"
+    );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A sender under test: settings, a clock, and the actions it asked for. It models no destinations.
+//! A sender under test: settings, a clock, and the actions that it returned. Destinations are not modelled.
 #![allow(dead_code)]
 
 use pewterseam::Brain;
@@ -71,7 +71,7 @@
     pub brain: Brain,
     pub now: Micros,
     pub settings: Settings,
-    next: u64,
+    last_id: u64,
 }
 
 impl Sender {
@@ -80,7 +80,8 @@
     }
 
     pub fn seeded(seed: u64, settings: Settings, hosts: &[Listed]) -> Self {
-        let mut sender = Sender { brain: Brain::new(settings.clone(), seed), now: START, settings, next: 0 };
+        let mut sender =
+            Sender { brain: Brain::new(settings.clone(), seed), now: START, settings, last_id: 0 };
         sender.step(vec![Event::Registry(RegistryNews::Whole(hosts.to_vec()))]);
         sender
     }
@@ -89,8 +90,8 @@
         self.brain.step(self.now, events)
     }
 
-    /// Lets `span` pass in small steps and gathers the actions.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// Lets `span` pass in small steps and collects the actions.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
@@ -101,13 +102,13 @@
     }
 
     pub fn request(&mut self, class: usize, destination: DestinationId) -> Request {
-        self.next += 1;
+        self.last_id += 1;
         let deadline = self.now + self.settings.classes[class].deadline;
-        let id = MessageId(self.next);
+        let id = MessageId(self.last_id);
         Request { id, class, destination, tenant: 0, key: None, deadline, history: History::default() }
     }
 
-    pub fn hand_in(&mut self, class: usize, destination: DestinationId) -> (MessageId, Vec<Action>) {
+    pub fn submit(&mut self, class: usize, destination: DestinationId) -> (MessageId, Vec<Action>) {
         let request = self.request(class, destination);
         (request.id, self.step(vec![Event::Message(request)]))
     }
@@ -118,7 +119,7 @@
     }
 }
 
-/// A send that was seen, with its attempt's number.
+/// An observed send, with the number of its attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub id: MessageId,
@@ -141,7 +142,7 @@
     }
 }
 
-/// The sends among actions, taken as first attempts.
+/// The sends among actions, as first attempts.
 pub fn sends(actions: &[Action]) -> Vec<Sent> {
     let sent = |action: &Action| match *action {
         Action::Send { id, host, timeout, .. } => Some(Sent { id, host, attempt: 0, timeout }),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many senders at one destination, simulated: what they send it in sum.
+//! Simulations of many senders to one destination: what they send to it together.
 
 mod common;
 
@@ -9,11 +9,11 @@
 use pewterseam::interface::*;
 use pewterseam::state::chance;
 
-const GRID: Micros = 10 * MILLI;
-/// Until an answer comes.
-const ANSWER: Micros = 40 * MILLI;
+const STEP: Micros = 10 * MILLI;
+/// Time until an answer arrives.
+const ANSWER_TIME: Micros = 40 * MILLI;
 
-/// A destination's limit by which refused calls are counted too: what is called beyond it is owed first.
+/// A destination's limit that refused calls use up too: calls beyond it are a debt that is paid off first.
 struct Limit {
     rate: f64,
     room: f64,
@@ -25,24 +25,24 @@
         Limit { rate, room: rate * depth, left: rate * depth }
     }
 
-    fn pass(&mut self) {
-        self.left = (self.left + self.rate * GRID as f64 / SECOND as f64).min(self.room);
+    fn advance(&mut self) {
+        self.left = (self.left + self.rate * STEP as f64 / SECOND as f64).min(self.room);
     }
 
-    fn takes(&mut self) -> bool {
-        let takes = self.left >= 1.0;
+    fn accepts(&mut self) -> bool {
+        let accepts = self.left >= 1.0;
         self.left = (self.left - 1.0).max(-self.room);
-        takes
+        accepts
     }
 }
 
-/// Senders, and what is on its way to them.
+/// Senders, and the events on their way to them.
 struct Fleet {
     now: Micros,
     brains: Vec<Brain>,
     due: BTreeMap<Micros, Vec<(usize, Event)>>,
     settings: Settings,
-    handed_in: u64,
+    submitted: u64,
     /// Attempts of each message so far.
     attempts: BTreeMap<MessageId, u32>,
     seed: u64,
@@ -66,12 +66,12 @@
             brains,
             due: BTreeMap::new(),
             settings,
-            handed_in: 0,
+            submitted: 0,
             attempts: BTreeMap::new(),
             seed,
         };
         for me in 0..fleet.brains.len() {
-            fleet.later(GRID, me, Event::Registry(RegistryNews::Whole(list.to_vec())));
+            fleet.later(STEP, me, Event::Registry(RegistryNews::Whole(list.to_vec())));
         }
         fleet
     }
@@ -83,24 +83,25 @@
     fn answer(&mut self, call: &Call, outcome: Outcome, limit: Option<Allowance>) {
         let Call { id, attempt, from, timeout } = *call;
         let closed = outcome == Outcome::Ok;
-        let took = if outcome == Outcome::Timeout { timeout.next_multiple_of(GRID) } else { ANSWER };
+        let took = if outcome == Outcome::Timeout { timeout.next_multiple_of(STEP) } else { ANSWER_TIME };
         let ended = Ended { id, attempt, outcome, took, closed, limit, carrier: None };
         self.later(took, from, Event::Ended(ended));
     }
 
-    /// Hands in messages at this rate, to some senders more than to others; gives the calls of this moment.
+    /// Submits messages at this rate, more to some senders than to others; returns the calls sent in this
+    /// step.
     fn step(&mut self, rate: f64) -> Vec<Call> {
-        self.now += GRID;
+        self.now += STEP;
         let mut events: Vec<Vec<Event>> = vec![Vec::new(); self.brains.len()];
         for (me, event) in self.due.remove(&self.now).unwrap_or_default() {
             events[me].push(event);
         }
-        if chance(self.now, self.seed) < rate * GRID as f64 / SECOND as f64 {
+        if chance(self.now, self.seed) < rate * STEP as f64 / SECOND as f64 {
             let place = chance(self.now, self.seed + 1);
             let me = (place * place * events.len() as f64) as usize;
-            self.handed_in += 1;
+            self.submitted += 1;
             let deadline = self.now + self.settings.classes[FREE].deadline;
-            let (id, history) = (MessageId(self.handed_in), History::default());
+            let (id, history) = (MessageId(self.submitted), History::default());
             let request =
                 Request { id, class: FREE, destination: 1, tenant: 0, key: None, deadline, history };
             events[me.min(self.brains.len() - 1)].push(Event::Message(request));
@@ -119,7 +120,7 @@
                         for other in (0..self.brains.len()).filter(|other| *other != me) {
                             if to.is_none_or(|to| usize::from(to) == other) {
                                 let event = Event::Peer { from: me as u16, bytes: bytes.clone() };
-                                self.later(2 * GRID, other, event);
+                                self.later(2 * STEP, other, event);
                             }
                         }
                     }
@@ -131,9 +132,9 @@
     }
 }
 
-/// Messages served of those handed in, in the last half of two minutes, at three quarters of a limit in the mean and
-/// with a burst over it at the start.
-fn served_alone(senders: u16, seed: u64) -> f64 {
+/// Share of the submitted messages that succeed in the last half of two minutes, at a mean load of three
+/// quarters of a limit after a burst over it at the start.
+fn served_without_peers(senders: u16, seed: u64) -> f64 {
     let settings = Settings { senders, may_tell: false, ..settings() };
     let rate = f64::from(senders.max(60)) / 5.0;
     let mut fleet = Fleet::new(settings, seed, &[listed(1, 1, rate)]);
@@ -142,36 +143,37 @@
     let (mut served, mut before) = (0_u64, 0);
     while fleet.now < end {
         let burst = fleet.now < START + 6 * SECOND;
-        limit.pass();
+        limit.advance();
         for call in fleet.step(rate * if burst { 1.5 } else { 0.75 }) {
-            let takes = limit.takes();
+            let accepts = limit.accepts();
             let told = Some(Allowance { rate: limit.rate, left: Some((limit.left / limit.room).max(0.0)) });
-            let outcome = if takes { Outcome::Ok } else { Outcome::Full { wait: 0 } };
+            let outcome = if accepts { Outcome::Ok } else { Outcome::Full { wait: 0 } };
             fleet.answer(&call, outcome, told);
-            served += u64::from(takes && fleet.now > half);
+            served += u64::from(accepts && fleet.now > half);
         }
-        before = if fleet.now <= half { fleet.handed_in } else { before };
+        before = if fleet.now <= half { fleet.submitted } else { before };
     }
-    served as f64 / (fleet.handed_in - before) as f64
+    served as f64 / (fleet.submitted - before) as f64
 }
 
-// Danger: where nobody may tell of what was used, each refused sender comes again at the pace of an even slice that
-// is a permit a round at the least. Together that is more than the limit, refused calls use it up, and after one burst
-// none is served for the whole day.
+// Guards against a permanent overload among senders that may not exchange reports. If each refused sender
+// retries at an even share of at least a permit a round, all together exceed the limit, refused calls use it
+// up, and after one burst no call succeeds for the whole day.
 #[test]
-fn senders_that_may_not_tell_each_other_anything_get_out_of_a_limit_that_refused_calls_use_up() {
+fn senders_without_peer_messages_recover_from_a_limit_that_refused_calls_use_up() {
     for senders in [12, 60, 300] {
         for seed in 1..=3 {
-            let part = served_alone(senders, seed);
+            let part = served_without_peers(senders, seed);
             assert!(part > 0.8, "{senders} senders, seed {seed}: {part:.2} served");
         }
     }
 }
 
-/// Calls beyond what a host that comes back cold may be sent in the overload rule's window, in units of what is put
-/// down to chance: twice the root of that budget, and two. The largest of all windows up to its being warm; and the
-/// share of its capacity that it is sent from 5 to 10 s after that, when the last of the senders has found it warm.
-fn excess(senders: u16, outcome: Outcome, seed: u64) -> (f64, f64) {
+/// Calls beyond what the overload rule's window allows to a host that comes back cold, as a multiple of what
+/// chance explains: twice the root of that budget, plus two. Returns the maximum over all windows until the
+/// host is warm, and the share of its capacity that it receives from 5 to 10 s after that, when the last
+/// sender has found it warm.
+fn cold_excess(senders: u16, outcome: Outcome, seed: u64) -> (f64, f64) {
     const RATE: f64 = 12.0;
     let settings = Settings { senders, ..settings() };
     let (window, warm) = (settings.overload_window, settings.cold_time);
@@ -200,15 +202,16 @@
     (worst, f64::from(after) / 5.0 / RATE)
 }
 
-// Danger: each sender is within its part of what a cold host can do, and all of them together send it more.
+// Without coordination, each sender stays within its part of a cold host's capacity, but all together exceed
+// it.
 #[test]
-fn a_cold_host_is_sent_no_more_by_all_senders_together_than_chance_explains() {
+fn a_cold_host_gets_no_more_calls_from_all_senders_than_chance_explains() {
     for senders in [2, 12, 20, 30, 300] {
         for outcome in [Outcome::ConnectFailed, Outcome::Timeout] {
             let (mut worst, mut least) = ((f64::MIN, 0), (f64::MAX, 0));
             for seed in 1..=20 {
-                let (excess, after) = excess(senders, outcome, seed);
-                worst = if excess > worst.0 { (excess, seed) } else { worst };
+                let (cold_excess, after) = cold_excess(senders, outcome, seed);
+                worst = if cold_excess > worst.0 { (cold_excess, seed) } else { worst };
                 least = if after < least.0 { (after, seed) } else { least };
             }
             let text = format!(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Seeded, legal but odd event sequences, with the six rules asserted on what the module asks for. No
-//! destinations are modelled: outcomes are drawn, whatever was sent.
+//! Seeded event sequences, legal but unusual, with the six rules checked on the module's actions.
+//! Destinations are not modelled: outcomes are random, whatever was sent.
 
 mod common;
 
@@ -11,29 +11,29 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// What is known of a message, kept apart from the module's own books.
+/// What the test knows of a message, recorded apart from the module's own state.
 struct Known {
     request: Request,
     attempts: u32,
     out: Option<(HostId, Micros, Micros)>,
     ran: Option<Ran>,
     answered: bool,
-    /// Its end is decided, and the client has not heard of it.
-    untold: bool,
+    /// Its final result is decided, but the client has not received it.
+    unreported: bool,
 }
 
-/// Checks the rules action by action.
-struct Referee {
+/// Checks the rules for each action.
+struct RuleChecker {
     settings: Settings,
     known: BTreeMap<MessageId, Known>,
-    /// Messages of each key in the order taken, and when its rest is over.
+    /// Messages of each key in the order of acceptance, and when the key's pause ends.
     keys: BTreeMap<u64, (Vec<MessageId>, Micros)>,
     hosts: BTreeMap<HostId, (DestinationId, Option<Micros>)>,
-    /// By host where routes are apart.
+    /// Keyed by host where each host has a limit of its own.
     waits: BTreeMap<(DestinationId, Option<HostId>), Micros>,
 }
 
-impl Referee {
+impl RuleChecker {
     fn out(&self) -> impl Iterator<Item = (MessageId, &Known)> {
         self.known.iter().filter(|(_, known)| known.out.is_some()).map(|(id, known)| (*id, known))
     }
@@ -61,10 +61,11 @@
         assert!(!known.answered, "{id:?} was answered twice");
         assert!(now <= known.request.deadline + 20 * MILLI, "{id:?} was answered late");
         known.answered = true;
-        known.untold = self.settings.ends_by_notice;
+        known.unreported = self.settings.ends_by_notice;
     }
 
-    /// What a restarted sender is handed over: all that is open or untold, in the order taken.
+    /// The messages that a restarted sender receives: all that are open or unreported, in the order of
+    /// acceptance.
     fn restart(&mut self, now: Micros) -> Vec<Event> {
         self.waits.clear();
         self.hosts.values_mut().for_each(|(_, told)| *told = None);
@@ -82,7 +83,7 @@
             {
                 *rest = now + self.settings.order_rest;
             }
-            if !known.answered || known.untold {
+            if !known.answered || known.unreported {
                 let (attempts, ran) = (known.attempts, known.ran);
                 let failed_at = (known.attempts > 1).then_some(0);
                 let (cut_at, over) = (cut.map(|_| now), known.answered);
@@ -126,7 +127,7 @@
         if let Some((queue, rest)) = key.and_then(|key| self.keys.get(&key)) {
             assert!(now >= *rest, "a key was not left to rest");
             let earlier = queue.iter().take_while(|other| **other != id).map(|other| &self.known[other]);
-            let over = |known: &Known| known.answered && known.out.is_none() && !known.untold;
+            let over = |known: &Known| known.answered && known.out.is_none() && !known.unreported;
             assert!(earlier.into_iter().all(over), "out of order");
         }
     }
@@ -160,18 +161,18 @@
     }
 }
 
-/// The zone in which the hosts of these tests stand.
+/// The zone of a host in these tests.
 fn zone(host: HostId) -> u16 {
     (host.0 % 2) as u16
 }
 
-/// What a wait binds.
+/// The route that a wait applies to.
 fn route(settings: &Settings, destination: DestinationId, host: HostId) -> (DestinationId, Option<HostId>) {
     (destination, settings.kinds[0].routes_apart.then_some(host))
 }
 
-fn outcome(draw: u8, mood: u8) -> Outcome {
-    match draw.wrapping_add(mood.wrapping_mul(37)) % 12 {
+fn outcome(draw: u8, outcome_shift: u8) -> Outcome {
+    match draw.wrapping_add(outcome_shift.wrapping_mul(37)) % 12 {
         0..=5 => Outcome::Ok,
         6 => Outcome::Error,
         7 => Outcome::Full { wait: 0 },
@@ -182,13 +183,13 @@
     }
 }
 
-/// Plays one sequence of draws; each is a kind of event, a choice in it and the time that passes.
-fn play(settings: Settings, draws: &[(u8, u8, u8)]) {
+/// Plays one sequence of random draws; each has a kind of event, a choice within it and the time that passes.
+fn run_sequence(settings: Settings, draws: &[(u8, u8, u8)]) {
     let mut now = START;
     let hosts = [(1, 1), (2, 1), (3, 2), (4, 3), (5, 3)]
         .map(|(host, place)| Listed { zone: zone(HostId(host)), ..listed(host, place, 6.0) });
     let mut brain = Brain::new(settings.clone(), 11);
-    let mut referee = Referee {
+    let mut checker = RuleChecker {
         settings: settings.clone(),
         known: BTreeMap::new(),
         keys: BTreeMap::new(),
@@ -196,7 +197,7 @@
         waits: BTreeMap::new(),
     };
     let mut next = 0;
-    let mut mood = 0;
+    let mut outcome_shift = 0;
     let mut events = vec![Event::Registry(RegistryNews::Whole(hosts.to_vec()))];
     for (kind, choice, pause) in draws {
         match kind % 16 {
@@ -211,29 +212,35 @@
                     let history = History::default();
                     let request = Request { id, class, destination, tenant: 0, key, deadline, history };
                     if let Some(key) = key {
-                        referee.keys.entry(key).or_default().0.push(id);
+                        checker.keys.entry(key).or_default().0.push(id);
                     }
-                    let known =
-                        Known { request, attempts: 0, out: None, ran: None, answered: false, untold: false };
-                    referee.known.insert(id, known);
+                    let known = Known {
+                        request,
+                        attempts: 0,
+                        out: None,
+                        ran: None,
+                        answered: false,
+                        unreported: false,
+                    };
+                    checker.known.insert(id, known);
                     events.push(Event::Message(request));
                 }
             }
             7..=11 => {
-                let out: Vec<_> = referee.out().map(|(id, _)| id).collect();
+                let out: Vec<_> = checker.out().map(|(id, _)| id).collect();
                 if !out.is_empty() {
                     let id = out[usize::from(*choice) % out.len()];
-                    let ended = referee.ended(now, id, outcome(*choice, mood));
+                    let ended = checker.ended(now, id, outcome(*choice, outcome_shift));
                     events.push(Event::Ended(ended));
                 }
             }
-            12 => mood = *choice,
+            12 => outcome_shift = *choice,
             13 => {
                 let host = HostId(u64::from(choice % 5) + 1);
                 let lifecycle = if choice & 64 == 0 { Lifecycle::Draining } else { Lifecycle::Ready };
-                let (destination, told) = referee.hosts[&host];
+                let (destination, told) = checker.hosts[&host];
                 let told = (lifecycle != Lifecycle::Ready).then(|| told.unwrap_or(now));
-                referee.hosts.insert(host, (destination, told));
+                checker.hosts.insert(host, (destination, told));
                 let entry = Listed { lifecycle, zone: zone(host), ..listed(host.0, destination, 6.0) };
                 events.push(Event::Registry(RegistryNews::Changes(vec![entry])));
             }
@@ -243,23 +250,23 @@
                 events.push(Event::Peer { from: u16::from(choice % 3), bytes });
             }
             _ if *choice < 32 => {
-                // A restart: all it held is void, or handed over by a journal.
+                // A restart: the messages held are lost, or restored from a journal.
                 brain = Brain::new(settings.clone(), 12);
                 events = vec![Event::Registry(RegistryNews::Whole(hosts.to_vec()))];
-                events.extend(referee.restart(now));
+                events.extend(checker.restart(now));
             }
             _ if choice % 2 == 0 => {
-                for (id, known) in referee.known.iter_mut().filter(|(_, known)| known.untold) {
-                    known.untold = false;
+                for (id, known) in checker.known.iter_mut().filter(|(_, known)| known.unreported) {
+                    known.unreported = false;
                     events.push(Event::Withdrawn(*id));
                 }
             }
             _ => {
                 let open: Vec<_> =
-                    referee.known.iter().filter(|(_, k)| !k.answered).map(|(id, _)| *id).collect();
+                    checker.known.iter().filter(|(_, k)| !k.answered).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[usize::from(*choice) % open.len()];
-                    referee.known.get_mut(&id).expect("just listed").answered = true;
+                    checker.known.get_mut(&id).expect("just listed").answered = true;
                     events.push(Event::Withdrawn(id));
                 }
             }
@@ -267,29 +274,29 @@
         let until = now + u64::from(*pause) * 3 * MILLI;
         loop {
             let actions = brain.step(now, std::mem::take(&mut events));
-            actions.iter().for_each(|action| referee.check(now, action));
+            actions.iter().for_each(|action| checker.check(now, action));
             if now >= until {
                 break;
             }
             now += 10 * MILLI;
             events.push(Event::Timer);
-            let due: BTreeSet<_> = referee
+            let due: BTreeSet<_> = checker
                 .out()
                 .filter(|(_, k)| k.out.is_some_and(|(_, _, at)| at <= now))
                 .map(|(id, _)| id)
                 .collect();
             for id in due {
-                let ended = referee.ended(now, id, Outcome::Timeout);
+                let ended = checker.ended(now, id, Outcome::Timeout);
                 events.push(Event::Ended(ended));
             }
         }
         let late = |known: &Known| !known.answered && now > known.request.deadline + 20 * MILLI;
-        assert!(!referee.known.values().any(late), "a message was not answered");
+        assert!(!checker.known.values().any(late), "a message was not answered");
     }
 }
 
 #[test]
-fn the_rules_hold_whatever_happens() {
+fn the_rules_hold_for_random_event_sequences() {
     let variants = [
         settings(),
         Settings { may_tell: false, listing: Listing::Silent, ..settings() },
@@ -306,21 +313,22 @@
         let mut runner = TestRunner::new_with_rng(config.clone(), rng);
         let draws = proptest::collection::vec(any::<(u8, u8, u8)>(), 1..120);
         let played = runner.run(&draws, |draws| {
-            play(settings.clone(), &draws);
+            run_sequence(settings.clone(), &draws);
             Ok(())
         });
         played.unwrap_or_else(|error| panic!("{error}"));
     }
 }
 
-// Danger: a call that is out may have run when its window was open; handed in again, the message would run twice.
+// A call in flight may have run within its window: if the message was refused and submitted again, it would
+// run twice.
 #[test]
-fn a_guarded_message_whose_call_outlives_its_window_is_not_handed_back_as_harmless() {
+fn a_guarded_message_whose_call_outlives_its_window_is_failed_not_refused() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 400.0)]);
-    let (id, actions) = sender.hand_in(GUARDED, 1);
+    let (id, actions) = sender.submit(GUARDED, 1);
     let mut actions = sender.outcome(&sends(&actions)[0], Outcome::Full { wait: 0 });
-    actions.extend(sender.pass(3 * SECOND));
+    actions.extend(sender.advance(3 * SECOND));
     assert_eq!(sends(&actions).len(), 1, "the second attempt is out");
-    let ends = sender.pass(12 * SECOND);
+    let ends = sender.advance(12 * SECOND);
     assert_eq!((failed(&ends), refused(&ends)), (vec![id], vec![]));
 }
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -1,8 +1,8 @@
-//! What the decision module answers to long seeded streams of events, folded into one number.
+//! Hashes the decision module's answers to long seeded event streams into one number.
 //!
-//! Danger: code that is only moved or put another way decides something else, unseen by tests of one danger
-//! each. A change of behaviour on purpose changes [`SAME`]: the failed test prints the new number, and the
-//! commit that takes it over says what behaves otherwise, and why.
+//! Without this, a refactoring can change decisions unnoticed by tests that each check one failure. A
+//! deliberate change of behaviour changes [`EXPECTED_HASH`]: the failed test prints the new number, and the
+//! commit that adopts it says what behaves differently, and why.
 
 mod common;
 mod world;
@@ -14,11 +14,11 @@
 use siphasher::sip::SipHasher13;
 use world::World;
 
-/// All actions of all worlds, with their times.
-const SAME: u64 = 0x3c06_85b4_fa23_caa5;
+/// Hash over all actions of all worlds, with their times.
+const EXPECTED_HASH: u64 = 0x3c06_85b4_fa23_caa5;
 
 #[test]
-fn the_same_events_bring_the_same_actions() {
+fn the_same_events_give_the_same_actions() {
     let apart = Kind { routes_apart: true, bundle: 4 };
     let shared = Kind { routes_apart: false, bundle: 1 };
     let mut zoned = zoned();
@@ -32,11 +32,11 @@
     let silent = Settings { senders: 60, listing: Listing::Silent, max_retry_after: 0, ..settings() };
     let silent = Settings { ask_registry: true, ..silent };
     let alone = Settings { may_tell: false, listing: Listing::Rough, ..silent.clone() };
-    let folded = SipHasher13::new_with_keys(0, 0);
-    let folded = World::new(many, 6, true, folded).play();
-    let folded = World::new(rough, 3, true, folded).play();
-    let folded = World::new(silent, 5, false, folded).play();
-    let folded = World::new(alone, 5, true, folded).play();
-    let found = folded.finish();
-    assert_eq!(found, SAME, "what is decided has changed: {found:#018x}");
+    let hash = SipHasher13::new_with_keys(0, 0);
+    let hash = World::new(many, 6, true, hash).play();
+    let hash = World::new(rough, 3, true, hash).play();
+    let hash = World::new(silent, 5, false, hash).play();
+    let hash = World::new(alone, 5, true, hash).play();
+    let found = hash.finish();
+    assert_eq!(found, EXPECTED_HASH, "what is decided has changed: {found:#018x}");
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A closed loop around some senders of one group: messages, lists, peers, restarts, and hosts with moods and
-//! limits. All is drawn from the world's own seeds.
+//! A simulated environment of some senders of one group: messages, host lists, peers, restarts, and hosts
+//! with varying behaviour and limits. All choices are drawn from the world's own seeds.
 
 mod outside;
 
@@ -12,24 +12,24 @@
 
 use crate::common::*;
 
-/// Time that passes in a world (us).
-const LENGTH: Micros = 90 * SECOND;
-/// Grid of the times at which things come in (us), so that some come in one batch.
+/// Simulated time of a world (us).
+const DURATION: Micros = 90 * SECOND;
+/// Grid of event times (us), so that some events arrive in one batch.
 const GRID: Micros = 5 * MILLI;
 const DESTINATIONS: u64 = 6;
 const HOSTS: u64 = 16;
 
-/// A message at its sender, apart from the module's own books.
+/// A message at its sender, recorded apart from the module's own state.
 struct Held {
     request: Request,
     history: History,
-    /// The attempt that is out, when it was sent, and its host.
+    /// The attempt in flight: its number, when it was sent, and its host.
     out: Option<(u32, Micros, HostId)>,
     connect: Micros,
     timeout: Micros,
 }
 
-/// What comes next to a sender.
+/// The next thing that happens to a sender.
 enum Due {
     Arrival,
     Fixed(Event),
@@ -37,31 +37,31 @@
     Restart,
 }
 
-/// Senders of one group, and what they meet.
+/// Senders of one group and their environment.
 pub struct World {
     settings: Settings,
-    /// Connections take time to open, and callers tell of them.
-    opens: bool,
+    /// Connections take time to open, and the callers report it.
+    reports_opening: bool,
     now: Micros,
     draws: u64,
     brains: Vec<Brain>,
     held: Vec<BTreeMap<MessageId, Held>>,
     due: BTreeMap<(Micros, u64), (usize, Due)>,
     list: BTreeMap<HostId, Listed>,
-    /// Calls to each destination in a tenth of a second.
+    /// Calls to each destination per tenth of a second.
     calls: BTreeMap<(DestinationId, Micros), u64>,
-    folded: SipHasher13,
+    hash: SipHasher13,
 }
 
-/// A drawn number by its keys: it is the same with every version of every crate.
-fn drawn(kind: u64, key: u64) -> u64 {
+/// A pseudo-random number from its keys; it does not depend on the version of any crate.
+fn pseudo_random(kind: u64, key: u64) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(kind, key);
     hasher.write_u64(key);
     hasher.finish()
 }
 
 impl World {
-    pub fn new(settings: Settings, count: usize, opens: bool, folded: SipHasher13) -> Self {
+    pub fn new(settings: Settings, count: usize, reports_opening: bool, hash: SipHasher13) -> Self {
         let line = |host: u64| {
             let destination = (host % DESTINATIONS) as DestinationId;
             let kind = destination as usize % settings.kinds.len();
@@ -77,22 +77,22 @@
             now: START,
             draws: 0,
             settings,
-            opens,
-            folded,
+            reports_opening,
+            hash,
         };
         for me in 0..count {
-            world.later(me, 0, Due::Fixed(Event::Registry(world.whole())));
-            world.later(me, GRID, Due::Arrival);
+            world.schedule(me, 0, Due::Fixed(Event::Registry(world.whole())));
+            world.schedule(me, GRID, Due::Arrival);
         }
         world
     }
 
     fn draw(&mut self, below: u64) -> u64 {
         self.draws += 1;
-        drawn(1, self.draws) % below
+        pseudo_random(1, self.draws) % below
     }
 
-    fn later(&mut self, me: usize, span: Micros, due: Due) {
+    fn schedule(&mut self, me: usize, span: Micros, due: Due) {
         self.draws += 1;
         self.due.insert(((self.now + span).next_multiple_of(GRID), self.draws), (me, due));
     }
@@ -101,27 +101,27 @@
         RegistryNews::Whole(self.list.values().copied().collect())
     }
 
-    /// Plays the world, and folds all that is asked for.
+    /// Runs the world and hashes all actions.
     pub fn play(mut self) -> SipHasher13 {
         while let Some(((at, _), _)) = self.due.first_key_value()
-            && *at < START + LENGTH
+            && *at < START + DURATION
         {
             self.now = *at;
             let me = self.due.first_key_value().map_or(0, |(_, (me, _))| *me);
             let mut events = Vec::new();
             let batch = self.due.extract_if(..=(self.now, u64::MAX), |_, (to, _)| *to == me);
             let batch: Vec<_> = batch.collect();
-            batch.into_iter().for_each(|(_, (_, due))| self.take(me, due, &mut events));
+            batch.into_iter().for_each(|(_, (_, due))| self.handle(me, due, &mut events));
             let actions = self.brains[me].step(self.now, events);
             for action in actions {
-                self.folded.write(format!("{} {me} {action:?}", self.now).as_bytes());
+                self.hash.write(format!("{} {me} {action:?}", self.now).as_bytes());
                 self.act(me, action);
             }
         }
-        self.folded
+        self.hash
     }
 
-    fn take(&mut self, me: usize, due: Due, events: &mut Vec<Event>) {
+    fn handle(&mut self, me: usize, due: Due, events: &mut Vec<Event>) {
         match due {
             Due::Arrival => self.arrive(me, events),
             Due::Fixed(event) => events.push(event),
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A message or a few, in times of more and of less load; now and then something else befalls the sender.
+    /// A few messages, at a load that varies over time; now and then another event for the sender.
     fn arrive(&mut self, me: usize, events: &mut Vec<Event>) {
         for _ in 0..=self.draw(3) {
             let (id, class) = (MessageId(self.draws), self.draw(self.settings.classes.len() as u64) as usize);
@@ -143,9 +143,10 @@
             self.held[me].insert(id, Held { request, history, out: None, connect: 0, timeout: 0 });
             events.push(Event::Message(request));
         }
-        let pause = [60, 150, 300, 900][drawn(2, me as u64 + self.now / (8 * SECOND)) as usize % 4] * MILLI;
+        let pause =
+            [60, 150, 300, 900][pseudo_random(2, me as u64 + self.now / (8 * SECOND)) as usize % 4] * MILLI;
         let pause = pause / 2 + self.draw(pause);
-        self.later(me, pause, Due::Arrival);
+        self.schedule(me, pause, Due::Arrival);
         match self.draw(120) {
             0 => self.change_list(),
             1 => events.push(Event::Registry([RegistryNews::Failed, RegistryNews::Refused][me % 2].clone())),
@@ -157,7 +158,7 @@
             4 if self.draw(4) == 0 => {
                 let by = self.now + 3 * SECOND;
                 events.push(Event::Stop { by });
-                self.later(me, 3 * SECOND, Due::Restart);
+                self.schedule(me, 3 * SECOND, Due::Restart);
             }
             5 if self.draw(4) == 0 => {
                 let mut settings = settings_of(&self.settings, me);
@@ -182,13 +183,13 @@
         self.list.retain(|_, line| line.lifecycle != Lifecycle::Gone);
         for me in 0..self.brains.len() {
             let pause = self.draw(50 * MILLI);
-            self.later(me, pause, Due::Fixed(Event::Registry(news.clone())));
+            self.schedule(me, pause, Due::Fixed(Event::Registry(news.clone())));
         }
     }
 
     fn restart(&mut self, me: usize, events: &mut Vec<Event>) {
         let learnt = self.brains[me].learnt();
-        self.folded.write(format!("{learnt:?}").as_bytes());
+        self.hash.write(format!("{learnt:?}").as_bytes());
         self.brains[me] = Brain::new(settings_of(&self.settings, me), self.now);
         events.retain(|event| matches!(event, Event::Peer { .. }));
         self.due.retain(|_, (to, due)| *to != me || matches!(due, Due::Arrival));
@@ -202,7 +203,7 @@
             first.push(Event::Message(held.request));
         }
         events.splice(0..0, first);
-        self.later(me, GRID, Due::Fixed(Event::Timer));
+        self.schedule(me, GRID, Due::Fixed(Event::Timer));
     }
 
     fn end(&mut self, me: usize, ended: Ended, events: &mut Vec<Event>) {
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -1,8 +1,9 @@
-//! What becomes of actions: calls by the moods of hosts and the limits of destinations, datagrams, notices.
+//! Effects of actions: calls, by the behaviour of hosts and the limits of destinations; peer messages;
+//! notices.
 
 use pewterseam::interface::*;
 
-use super::{Due, World, drawn};
+use super::{Due, World, pseudo_random};
 use crate::common::*;
 
 impl World {
@@ -14,9 +15,9 @@
                 held.history.attempts += 1;
                 (held.timeout, held.connect) = (timeout, connect);
                 let attempt = held.history.attempts - 1;
-                if self.opens && self.draw(2) == 0 {
+                if self.reports_opening && self.draw(2) == 0 {
                     let pause = self.draw(40 * MILLI);
-                    self.later(me, pause, Due::Fixed(Event::Opened { id, attempt }));
+                    self.schedule(me, pause, Due::Fixed(Event::Opened { id, attempt }));
                 } else {
                     self.call(me, id, false);
                 }
@@ -31,29 +32,29 @@
             Action::Cancel { id, attempt } => {
                 let (outcome, took) = (Outcome::Cancelled, MILLI);
                 let ended = Ended { id, attempt, outcome, took, closed: false, limit: None, carrier: None };
-                self.later(me, took, Due::Ended(ended));
+                self.schedule(me, took, Due::Ended(ended));
             }
             Action::Fail(id) | Action::Refuse { id, .. } if self.settings.ends_by_notice => {
                 self.held[me].get_mut(&id).into_iter().for_each(|held| held.history.over = true);
-                self.later(me, 200 * MILLI, Due::Fixed(Event::Withdrawn(id)));
+                self.schedule(me, 200 * MILLI, Due::Fixed(Event::Withdrawn(id)));
             }
             Action::Fail(id) | Action::Refuse { id, .. } => drop(self.held[me].remove(&id)),
-            Action::Tell { to, bytes } => self.tell(me, to, &bytes),
+            Action::Tell { to, bytes } => self.deliver(me, to, &bytes),
             Action::Subscribe => {
                 let news = match self.draw(3) {
                     0 => RegistryNews::Refused,
                     1 => RegistryNews::Failed,
                     _ => self.whole(),
                 };
-                self.later(me, 100 * MILLI, Due::Fixed(Event::Registry(news)));
+                self.schedule(me, 100 * MILLI, Due::Fixed(Event::Registry(news)));
             }
-            Action::Wake(at) => self.later(me, at - self.now, Due::Fixed(Event::Timer)),
+            Action::Wake(at) => self.schedule(me, at - self.now, Due::Fixed(Event::Timer)),
             Action::Probe(_) | Action::CloseIdle(_) | Action::Log(_) => {}
         }
     }
 
-    /// Passes a peer message on; some are lost or spoilt.
-    fn tell(&mut self, me: usize, to: Option<u16>, bytes: &[u8]) {
+    /// Delivers a peer message; some are lost or corrupted.
+    fn deliver(&mut self, me: usize, to: Option<u16>, bytes: &[u8]) {
         for peer in (0..self.brains.len()).filter(|peer| *peer != me) {
             if to.is_some_and(|to| usize::from(to) != peer) || self.draw(40) == 0 {
                 continue;
@@ -64,23 +65,24 @@
                 bytes[place] ^= 1 << self.draw(8);
             }
             let pause = self.draw(10 * MILLI);
-            self.later(peer, pause, Due::Fixed(Event::Peer { from: me as u16, bytes }));
+            self.schedule(peer, pause, Due::Fixed(Event::Peer { from: me as u16, bytes }));
         }
     }
 
-    /// How a written call ends: each host has a mood for some seconds, each destination a limit.
+    /// Draws how a written call ends: each host behaves one way for some seconds, each destination has a
+    /// limit.
     fn call(&mut self, me: usize, id: MessageId, new: bool) {
         let Some((attempt, _, host)) = self.held[me].get(&id).and_then(|held| held.out) else { return };
         let (timeout, connect) = (self.held[me][&id].timeout, self.held[me][&id].connect);
         let destination = self.held[me][&id].request.destination;
-        let limit = 6 + drawn(3, u64::from(destination) + self.now / (30 * SECOND)) % 30;
+        let limit = 6 + pseudo_random(3, u64::from(destination) + self.now / (30 * SECOND)) % 30;
         let count = self.calls.entry((destination, self.now / (SECOND / 10))).or_default();
         *count += 1;
         let used = *count as f64 * 10.0 / limit as f64;
         let took = 40 * MILLI + self.draw(200 * MILLI);
-        let mood = drawn(4, host.0 * 1000 + (self.now + host.0 * SECOND) / (7 * SECOND)) % 16;
+        let behaviour = pseudo_random(4, host.0 * 1000 + (self.now + host.0 * SECOND) / (7 * SECOND)) % 16;
         let luck = self.draw(40);
-        let (outcome, took) = match (mood, luck) {
+        let (outcome, took) = match (behaviour, luck) {
             (0, _) | (_, 0) => (Outcome::Error, took),
             (1, _) | (_, 1) => (Outcome::Timeout, timeout),
             (2, _) => (Outcome::ConnectFailed, if luck < 10 { connect } else { MILLI }),
@@ -92,18 +94,18 @@
         };
         let (outcome, took) = if took > timeout { (Outcome::Timeout, timeout) } else { (outcome, took) };
         if self.draw(25) == 0 {
-            self.later(me, MILLI, Due::Fixed(Event::Stalled { id, attempt, stalled: true }));
-            self.later(me, 600 * MILLI, Due::Fixed(Event::Stalled { id, attempt, stalled: false }));
+            self.schedule(me, MILLI, Due::Fixed(Event::Stalled { id, attempt, stalled: true }));
+            self.schedule(me, 600 * MILLI, Due::Fixed(Event::Stalled { id, attempt, stalled: false }));
         }
         let told = destination.is_multiple_of(2) && !luck.is_multiple_of(3);
-        // One that refuses all has most of its limit left; others that refuse have next to none.
-        let left = if mood == 4 { 0.7 + luck as f64 / 100.0 } else { (1.0 - used).max(0.0) };
+        // A host that refuses all calls has most of its limit left; others that refuse have almost none.
+        let left = if behaviour == 4 { 0.7 + luck as f64 / 100.0 } else { (1.0 - used).max(0.0) };
         let left = destination.is_multiple_of(4).then_some(left);
         let limit = told.then_some(Allowance { rate: limit as f64 * (0.9 + luck as f64 / 200.0), left });
         let idle_for = (!new).then_some(luck * 400 * MILLI);
         let kept = matches!(outcome, Outcome::Ok | Outcome::Full { .. }) && luck > 6;
-        let carrier = self.opens.then_some(Carrier { idle_for, kept });
+        let carrier = self.reports_opening.then_some(Carrier { idle_for, kept });
         let ended = Ended { id, attempt, outcome, took, closed: outcome == Outcome::Ok, limit, carrier };
-        self.later(me, took, Due::Ended(ended));
+        self.schedule(me, took, Due::Ended(ended));
     }
 }
