--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -113,7 +113,7 @@
 }
 
 fn error_text(bytes: &[u8]) -> String {
-    process(&mut Instances::default(), bytes).expect_err("a fault").to_string()
+    process(&mut Instances::default(), bytes).expect_err("an error").to_string()
 }
 
 #[test]
@@ -233,9 +233,9 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the built binary starts");
+        .expect("failed to start the built binary");
     child.stdin.take().expect("piped").write_all(input).expect("written");
-    let done = child.wait_with_output().expect("it ends with its input");
+    let done = child.wait_with_output().expect("failed to wait for the binary");
     (done.status.code(), done.stdout, String::from_utf8_lossy(&done.stderr).into_owned())
 }
 
--- a/src/brain/admission.rs
+++ b/src/brain/admission.rs
@@ -79,15 +79,15 @@
 
     /// Gives up hopeless messages: too late, without attempts left, or at risk of running twice.
     pub(super) fn expire(&mut self) {
-        let hopeless = |message: &&Message| {
-            let (waits, class) = (message.out.is_none(), self.class(message));
+        let is_hopeless = |message: &&Message| {
+            let (waits, class) = (message.in_flight.is_none(), self.class(message));
             let needed = if waits { INITIAL_ANSWER_TIME as Micros / 2 } else { CHECK_INTERVAL };
             let ran = class.effect == Effect::SingleShot && message.ran.is_some();
             let spent = message.attempts >= self.settings.max_attempts || ran;
             let window_over = State::is_window_over(message, class, self.now + CHECK_INTERVAL);
             (waits && (spent || window_over)) || self.now + needed >= message.request.deadline
         };
-        let late: Vec<_> = self.state.held().filter(hopeless).map(|message| message.request.id).collect();
+        let late: Vec<_> = self.state.held().filter(is_hopeless).map(|message| message.request.id).collect();
         late.into_iter().for_each(|id| self.give_up(id));
         for (id, attempt) in self.state.stalled() {
             if !self.can_still_send(id) {
--- a/src/brain/choice.rs
+++ b/src/brain/choice.rs
@@ -110,7 +110,7 @@
 
     /// Whether an unwritten attempt may still go. A host opened since takes trial calls only.
     pub(super) fn can_still_send(&self, id: MessageId) -> bool {
-        let Some((message, call, host)) = self.state.out(id) else { return false };
+        let Some((message, call, host)) = self.state.in_flight(id) else { return false };
         (call.trial || !host.is_open()) && self.is_allowed(host, message)
     }
 }
--- a/src/memo.rs
+++ b/src/memo.rs
@@ -8,10 +8,10 @@
 
 const VERSION: u8 = 3;
 /// Maximum length of an encoded number, in bytes.
-const LONGEST: usize = 4;
-const PER_PERMIT: f64 = 100.0;
+const MAX_NUMBER_BYTES: usize = 4;
+const STEPS_PER_PERMIT: f64 = 100.0;
 /// A limit is encoded in tenths of a call per second.
-const PER_CALL: f64 = 10.0;
+const STEPS_PER_CALL: f64 = 10.0;
 
 /// What a message says about one route or host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -70,8 +70,8 @@
     pub record: Record,
 }
 
-fn put(bytes: &mut Vec<u8>, number: f64) {
-    let mut left = number.clamp(0.0, f64::from((1u32 << (7 * LONGEST)) - 1)).round() as u32;
+fn write_number(bytes: &mut Vec<u8>, number: f64) {
+    let mut left = number.clamp(0.0, f64::from((1u32 << (7 * MAX_NUMBER_BYTES)) - 1)).round() as u32;
     while left >= 128 {
         bytes.push(left as u8 | 128);
         left >>= 7;
@@ -79,16 +79,16 @@
     bytes.push(left as u8);
 }
 
-fn take(bytes: &mut &[u8]) -> Option<f64> {
-    let length = bytes.iter().take(LONGEST).position(|byte| *byte < 128)? + 1;
+fn read_number(bytes: &mut &[u8]) -> Option<f64> {
+    let length = bytes.iter().take(MAX_NUMBER_BYTES).position(|byte| *byte < 128)? + 1;
     let (number, rest) = bytes.split_at(length);
     *bytes = rest;
     let number = number.iter().rev().fold(0u32, |sum, byte| sum << 7 | u32::from(byte & 127));
     Some(f64::from(number))
 }
 
-fn take_record(bytes: &mut &[u8]) -> Option<Record> {
-    let destination = take(bytes)? as DestinationId;
+fn read_record(bytes: &mut &[u8]) -> Option<Record> {
+    let destination = read_number(bytes)? as DestinationId;
     let (flags @ 0..=31, rest) = bytes.split_first()? else { return None };
     *bytes = rest;
     let mut host = None;
@@ -102,14 +102,14 @@
     let mut record = Record { destination, host, up, asks, ..Record::default() };
     if flags & 16 != 0 {
         record.report = Report {
-            senders: take(bytes)?,
-            designated: take(bytes)? / PER_PERMIT,
-            full: take(bytes)? / PER_PERMIT,
-            spare: take(bytes)? / PER_PERMIT,
-            used: take(bytes)?,
-            refused: take(bytes)?,
-            limits: take(bytes)? / PER_CALL,
-            tellers: take(bytes)?,
+            senders: read_number(bytes)?,
+            designated: read_number(bytes)? / STEPS_PER_PERMIT,
+            full: read_number(bytes)? / STEPS_PER_PERMIT,
+            spare: read_number(bytes)? / STEPS_PER_PERMIT,
+            used: read_number(bytes)?,
+            refused: read_number(bytes)?,
+            limits: read_number(bytes)? / STEPS_PER_CALL,
+            tellers: read_number(bytes)?,
         };
     }
     Some(record)
@@ -118,17 +118,17 @@
 pub fn encode(memo: &Memo) -> Vec<u8> {
     let record = &memo.record;
     let mut bytes = vec![VERSION, memo.purpose as u8];
-    put(&mut bytes, record.destination.into());
+    write_number(&mut bytes, record.destination.into());
     let up = record.up.is_some();
     let flags = [record.host.is_some(), record.asks, up, record.up == Some(true), !up];
     bytes.push(flags.iter().rev().fold(0, |bits, flag| bits << 1 | u8::from(*flag)));
     bytes.extend(record.host.iter().flat_map(|host| host.0.to_be_bytes()));
     let report = record.report;
-    let permits = [report.designated, report.full, report.spare].map(|permits| permits * PER_PERMIT);
-    let rest = [report.used, report.refused, report.limits * PER_CALL, report.tellers];
+    let permits = [report.designated, report.full, report.spare].map(|permits| permits * STEPS_PER_PERMIT);
+    let rest = [report.used, report.refused, report.limits * STEPS_PER_CALL, report.tellers];
     let figures = [report.senders].into_iter().chain(permits).chain(rest);
     for figure in figures.filter(|_| !up) {
-        put(&mut bytes, figure);
+        write_number(&mut bytes, figure);
     }
     bytes
 }
@@ -140,6 +140,6 @@
         [Purpose::News, Purpose::Verdict, Purpose::Round, Purpose::Sums, Purpose::Crowded, Purpose::Wait];
     let purpose = *purposes.get(usize::from(*purpose))?;
     let mut rest = rest;
-    let record = take_record(&mut rest)?;
+    let record = read_record(&mut rest)?;
     rest.is_empty().then_some(Memo { purpose, record })
 }
--- a/src/state/calls.rs
+++ b/src/state/calls.rs
@@ -7,15 +7,15 @@
 
 impl State {
     /// The message with an attempt in flight, with its call and host.
-    pub fn out(&self, id: MessageId) -> Option<(&Message, &Call, &Host)> {
+    pub fn in_flight(&self, id: MessageId) -> Option<(&Message, &Call, &Host)> {
         let message = self.messages.get(&id)?;
-        let out = message.out?;
+        let out = message.in_flight?;
         Some((message, self.calls.get(&out.call)?, self.hosts.get(&out.host)?))
     }
 
     /// Attempts whose call is partly unwritten.
     pub fn stalled(&self) -> Vec<(MessageId, u32)> {
-        let out = self.messages.iter().filter_map(|(id, message)| Some((*id, message.out?)));
+        let out = self.messages.iter().filter_map(|(id, message)| Some((*id, message.in_flight?)));
         out.filter(|(_, out)| out.stalled).map(|(id, out)| (id, out.number)).collect()
     }
 
@@ -53,7 +53,8 @@
         host.trial |= trial;
         let room = if trial { 1 } else { settings.kinds[host.kind].bundle };
         self.last_call += 1;
-        let call = Call { host: id, sent_at: now, members: 0, room, trial, judged: false, idle_for };
+        let call =
+            Call { host: id, sent_at: now, members: 0, room, trial, outcome_recorded: false, idle_for };
         self.calls.insert(self.last_call, call);
         Some(self.last_call)
     }
@@ -64,14 +65,14 @@
             entry.members += 1;
             entry.room -= 1;
             let (number, host) = (message.attempts, entry.host);
-            message.out = Some(Attempt { number, call, host, sent_at: now, stalled: false });
+            message.in_flight = Some(Attempt { number, call, host, sent_at: now, stalled: false });
             message.attempts += 1;
         }
     }
 
     /// Records that the call of an attempt is being written; no message may join it any more.
     pub fn mark_written(&mut self, id: MessageId, now: Micros) {
-        let out = self.messages.get_mut(&id).and_then(|message| message.out.as_mut());
+        let out = self.messages.get_mut(&id).and_then(|message| message.in_flight.as_mut());
         let Some(out) = out else { return };
         out.sent_at = now;
         if let Some(call) = self.calls.get_mut(&out.call) {
@@ -95,7 +96,7 @@
 
     /// Records whether part of an attempt's call waits to be written.
     pub fn set_stalled(&mut self, id: MessageId, attempt: u32, stalled: bool) {
-        let out = self.messages.get_mut(&id).and_then(|message| message.out.as_mut());
+        let out = self.messages.get_mut(&id).and_then(|message| message.in_flight.as_mut());
         if let Some(out) = out.filter(|out| out.number == attempt) {
             out.stalled = stalled;
         }
@@ -109,7 +110,7 @@
     ) -> Option<(Attempt, bool, Option<Micros>)> {
         let outcome = ended.outcome;
         let message = self.messages.get_mut(&ended.id)?;
-        let attempt = message.out.take_if(|attempt| attempt.number == ended.attempt)?;
+        let attempt = message.in_flight.take_if(|attempt| attempt.number == ended.attempt)?;
         if outcome.may_have_run() {
             let zone = self.hosts.get(&attempt.host).map(|host| host.zone);
             message.ran.get_or_insert(Ran { at: attempt.sent_at, zone });
@@ -126,7 +127,7 @@
         let idle_for = ended.carrier.map_or(call.idle_for, |carrier| carrier.idle_for);
         let usual = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full { .. });
         let kept = ended.carrier.map_or(usual, |carrier| carrier.kept);
-        let first = !std::mem::replace(&mut call.judged, true);
+        let first = !std::mem::replace(&mut call.outcome_recorded, true);
         if call.members == 0 {
             let trial = call.trial;
             self.calls.remove(&attempt.call);
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -20,7 +20,8 @@
 pub struct Message {
     pub request: Request,
     pub attempts: u32,
-    pub out: Option<Attempt>,
+    /// The attempt in flight.
+    pub in_flight: Option<Attempt>,
     /// The first attempt that may have run.
     pub ran: Option<Ran>,
     /// Whether the message has its final answer; it is kept only until its attempt has an outcome and its
@@ -46,7 +47,8 @@
     /// Messages that may still join it.
     pub room: usize,
     pub trial: bool,
-    pub judged: bool,
+    /// An attempt of the call has ended, and its outcome is recorded.
+    pub outcome_recorded: bool,
     /// How long its connection had been idle; `None` for a new one.
     pub idle_for: Option<Micros>,
 }
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -13,7 +13,7 @@
 
     /// Messages that still need an answer and have no attempt in flight.
     pub fn waiting(&self) -> impl Iterator<Item = &Message> {
-        self.held().filter(|message| message.out.is_none())
+        self.held().filter(|message| message.in_flight.is_none())
     }
 
     /// How many messages wait for each destination.
@@ -40,7 +40,7 @@
             entry.queue.push_back(request.id);
             entry.paused_until = entry.paused_until.max(cut_at.map_or(0, |at| at + settings.order_rest));
         }
-        let message = Message { request, attempts, out: None, ran, finished: over, unreported: over };
+        let message = Message { request, attempts, in_flight: None, ran, finished: over, unreported: over };
         self.messages.insert(request.id, message);
     }
 
@@ -65,7 +65,7 @@
     pub fn finish(&mut self, id: MessageId, now: Micros) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.finished = true;
-        if message.out.is_some() || message.unreported {
+        if message.in_flight.is_some() || message.unreported {
             return;
         }
         let key = message.request.key;
--- a/src/state/repeats.rs
+++ b/src/state/repeats.rs
@@ -6,7 +6,7 @@
 impl State {
     /// Whether a message may be refused: it can safely be submitted again, whatever happened to its attempts.
     pub fn can_refuse(message: &Message, class: &Class, now: Micros) -> bool {
-        let ran = message.ran.is_some() || message.out.is_some();
+        let ran = message.ran.is_some() || message.in_flight.is_some();
         match class.effect {
             Effect::Free => true,
             Effect::Guarded { group, .. } => {
@@ -26,7 +26,7 @@
     /// flight counts: it may have run long ago, and a message refused after its window would run twice when
     /// it is submitted again.
     pub fn is_window_over(message: &Message, class: &Class, at: Micros) -> bool {
-        let ran = message.ran.map(|ran| ran.at).or(message.out.map(|out| out.sent_at));
+        let ran = message.ran.map(|ran| ran.at).or(message.in_flight.map(|out| out.sent_at));
         match class.effect {
             Effect::Guarded { window, .. } => ran.is_some_and(|ran| at >= ran + window),
             _ => false,
--- a/tests/brain.rs
+++ b/tests/brain.rs
@@ -160,7 +160,7 @@
 #[test]
 fn calls_are_limited_only_after_a_refusal_as_full() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 4.0)]);
-    assert_eq!(send_burst(&mut sender, 4).len(), 4, "unbound, a clump goes at once");
+    assert_eq!(send_burst(&mut sender, 4).len(), 4, "without limiting, a burst is sent at once");
 }
 
 #[test]
@@ -185,7 +185,7 @@
     refuse_one_call(&mut sender);
     assert!(
         count_served(&mut sender, 3 * SECOND) > 0,
-        "the refused message goes again within a round or two"
+        "the refused message was not retried within a round or two"
     );
 }
 
@@ -214,7 +214,7 @@
     sender.step(vec![Event::Retuned(Settings { me: 30, senders: 60, ..settings() })]);
     refuse_one_call(&mut sender);
     let count = serve_burst(&mut sender, 50, 10 * SECOND);
-    assert!(count <= 20, "{count} in 10 s, of a pool of 60 a second for 60 senders");
+    assert!(count <= 20, "{count} in 10 s, from a pool of 60 a second shared by 60 senders");
 }
 
 // If senders use sums a round after they were sent, the fleet's total share oscillates ever more between a
@@ -422,9 +422,9 @@
     let sent = sends(&actions);
     assert_eq!(sent.iter().map(|sent| sent.id).collect::<Vec<_>>(), [first.id]);
     sender.step(vec![Event::Withdrawn(first.id)]);
-    assert!(sends(&sender.advance(300 * MILLI)).is_empty(), "its attempt is still out");
+    assert!(sends(&sender.advance(300 * MILLI)).is_empty(), "its attempt is still in flight");
     sender.outcome(&sent[0], Outcome::Timeout);
-    assert!(sends(&sender.advance(490 * MILLI)).is_empty(), "the key rests");
+    assert!(sends(&sender.advance(490 * MILLI)).is_empty(), "the key is paused");
     assert_eq!(sends(&sender.advance(100 * MILLI))[0].id, second.id);
 }
 
@@ -435,13 +435,13 @@
     let mut sender = Sender::new(settings(), &[listed(1, 1, 4.0)]);
     let (_, actions) = sender.submit(FREE, 1);
     sender.outcome(&sends(&actions)[0], Outcome::Full { wait: 9 * SECOND });
-    let worthy: Vec<_> = (0..30).map(|_| sender.submit(ONCE, 1).0).collect();
-    let mut turned_away = Vec::new();
+    let valuable: Vec<_> = (0..30).map(|_| sender.submit(ONCE, 1).0).collect();
+    let mut rejected = Vec::new();
     for _ in 0..35 {
-        turned_away.extend(refused(&sender.submit(FREE, 1).1));
+        rejected.extend(refused(&sender.submit(FREE, 1).1));
     }
-    assert!(!turned_away.is_empty());
-    assert!(turned_away.iter().all(|id| !worthy.contains(id)));
+    assert!(!rejected.is_empty());
+    assert!(rejected.iter().all(|id| !valuable.contains(id)));
 }
 
 #[test]
@@ -460,7 +460,7 @@
 #[test]
 fn a_silent_destination_leaves_slots_to_the_others() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 40.0), listed(2, 2, 40.0)]);
-    assert!(send_burst(&mut sender, 30).len() <= 5, "more than half of the slots");
+    assert!(send_burst(&mut sender, 30).len() <= 5, "one destination took more than half of the slots");
     let (id, actions) = sender.submit(FREE, 2);
     assert_eq!(sends(&actions)[0].id, id);
 }
@@ -485,13 +485,13 @@
     let mut sender = Sender::new(settings(), &[listed(1, 1, 10.0)]);
     fail_host(&mut sender);
     let (once, actions) = sender.submit(ONCE, 1);
-    let mut tried = sends(&actions);
+    let mut trials = sends(&actions);
     for _ in 0..5 {
-        tried.extend(sends(&sender.submit(FREE, 1).1));
+        trials.extend(sends(&sender.submit(FREE, 1).1));
     }
-    tried.extend(sends(&sender.advance(500 * MILLI)));
-    assert!(tried.len() <= 1, "{tried:?}");
-    assert!(tried.iter().all(|sent| sent.id != once));
+    trials.extend(sends(&sender.advance(500 * MILLI)));
+    assert!(trials.len() <= 1, "{trials:?}");
+    assert!(trials.iter().all(|sent| sent.id != once));
 }
 
 #[test]
@@ -517,7 +517,7 @@
         let budget = settings.overload_factor * part * 10.0 * 3.0 / 2.0 + 2.0;
         assert!((window as f64) <= budget, "{window} calls in a window for {budget}");
     }
-    assert!(sent_at.len() > 5, "it is used again");
+    assert!(sent_at.len() > 5, "the host was not used again");
 }
 
 #[test]
@@ -702,7 +702,7 @@
     call_to(&mut sender, 1, Outcome::ConnectFailed);
     sender.advance(SECOND);
     let mut kept = |destination| keeps_connection(&mut sender, destination);
-    assert_eq!([1, 2, 3].map(&mut kept), [false, true, true], "seldom used, often used, another kind");
+    assert_eq!([1, 2, 3].map(&mut kept), [false, true, true], "rarely used, often used, another kind");
 }
 
 #[test]
@@ -752,7 +752,7 @@
         actions.iter().filter_map(close).collect::<Vec<_>>()
     };
     let actions = other.step(vec![health_message(7, Purpose::Crowded, false)]);
-    assert_eq!(closed(&actions), [1, 2], "all of the kind, but where calls come often");
+    assert_eq!(closed(&actions), [1, 2], "all hosts of the kind except the often used one");
     assert!(!keeps_connection(&mut other, 2) && keeps_connection(&mut other, 3));
     // A sender whose call is refused keeps no connection either.
     assert_eq!(closed(&call(&mut other, Outcome::Full { wait: 0 })), [1]);
@@ -793,10 +793,10 @@
         broadcasts(&refuse_call(&mut sender, wait, left), Purpose::Wait).len()
     };
     assert_eq!(told(200, SECOND, Some(0.1)), 1);
-    assert_eq!(told(200, SECOND, Some(1.0)), 0, "it is shut");
-    assert_eq!(told(200, 100 * MILLI, Some(0.1)), 0, "it is short");
+    assert_eq!(told(200, SECOND, Some(1.0)), 0, "the destination is out, not limited");
+    assert_eq!(told(200, 100 * MILLI, Some(0.1)), 0, "a short wait is not broadcast");
     assert_eq!(told(8, SECOND, Some(0.1)), 1);
-    assert_eq!(told(2, SECOND, Some(0.1)), 0, "few know all by themselves");
+    assert_eq!(told(2, SECOND, Some(0.1)), 0, "two senders exchange reports directly");
 }
 
 fn wait_message(milliseconds: f64) -> Event {
@@ -846,7 +846,10 @@
         calls
     };
     let (old, new) = (calls(0.0, 0.0), calls(360.0, 9.0));
-    assert!(new > 2 * old, "{new} calls where nine were told of 40 a second, {old} where none was");
+    assert!(
+        new > 2 * old,
+        "{new} calls when nine senders reported a limit of 40 a second, {old} when none did"
+    );
 }
 
 // If senders that only heard of a wait resume unlimited at its end, all of them are refused again.
@@ -857,7 +860,7 @@
     let held = send_burst(&mut sender, 6).len();
     let sent = sends(&sender.advance(3 * SECOND));
     assert_eq!(held, 0);
-    assert!((1..=3).contains(&sent.len()), "{} calls by one of many in three seconds", sent.len());
+    assert!((1..=3).contains(&sent.len()), "{} calls by one of many senders in 3 s", sent.len());
 }
 
 #[test]
@@ -922,7 +925,7 @@
     let peer_messages = peer_messages(&home.step(vec![peer_memo(9, Purpose::Round, asked)]));
     let [(Some(9), sum)] = &peer_messages[..] else { panic!("{peer_messages:?}") };
     assert_eq!((sum.purpose, sum.record.report.used), (Purpose::Sums, 3.0));
-    assert_eq!(sum.record.report.senders, 3.0, "two that reported, and the home");
+    assert_eq!(sum.record.report.senders, 3.0, "two reporting senders and the home");
 }
 
 #[test]
@@ -941,7 +944,7 @@
     assert!(peer_messages(&home.step(vec![health_message(7, Purpose::News, false)])).is_empty());
     assert!(
         peer_messages(&home.step(vec![health_message(7, Purpose::News, false)])).is_empty(),
-        "the same one again"
+        "a repeated report by the same sender"
     );
     let peer_messages = peer_messages(&home.step(vec![health_message(8, Purpose::News, false)]));
     let [(None, verdict)] = &peer_messages[..] else { panic!("{peer_messages:?}") };
@@ -954,7 +957,7 @@
         let mut sender = one_of_many(9);
         sender.step(vec![health_message(from, Purpose::Verdict, false)]);
         let (id, actions) = sender.submit(ONCE, 1);
-        assert_eq!(sends(&actions).is_empty(), holds, "told by {from}");
+        assert_eq!(sends(&actions).is_empty(), holds, "verdict from sender {from}");
         if holds {
             sender.now += SECOND;
             let actions = sender.step(vec![health_message(from, Purpose::Verdict, true)]);
@@ -967,15 +970,15 @@
 #[test]
 fn an_unconfirmed_verdict_expires_into_a_slow_start() {
     // Trial calls are sent, at the rate that all senders together may use on a cold host.
-    let mut tried = 0;
+    let mut trials = 0;
     for me in 6..66 {
         let mut sender = seeded_of_many(me, u64::from(me));
         sender.step(vec![health_message(3, Purpose::Verdict, false)]);
         sender.now += 7 * SECOND;
         let actions = [sender.submit(ONCE, 1).1, sender.advance(11 * SECOND)].concat();
-        tried += sends(&actions).len();
+        trials += sends(&actions).len();
     }
-    assert!((5..=50).contains(&tried), "{tried}");
+    assert!((5..=50).contains(&trials), "{trials}");
 }
 
 #[test]
@@ -1027,7 +1030,7 @@
     sender.now += first.timeout;
     let again = sends(&[sender.outcome(&first, Outcome::Timeout), sender.advance(SECOND)].concat());
     assert_eq!(again.iter().map(|sent| sent.id).collect::<Vec<_>>(), [id]);
-    assert!(again[0].timeout > 2 * first.timeout, "a call that is just long is not cut short again");
+    assert!(again[0].timeout > 2 * first.timeout, "the retry must not time out a slow call again");
 }
 
 #[test]
@@ -1061,7 +1064,7 @@
 #[test]
 fn trial_calls_of_many_senders_stay_within_the_cold_budget() {
     // All senders have a message for a destination that has been out for a long time.
-    let mut tried = 0;
+    let mut trials = 0;
     for me in 6..200 {
         let settings = Settings { me, senders: 200, ..settings() };
         let mut sender = Sender::seeded(u64::from(me) * 77_777, settings, &[listed(1, 1, 10.0)]);
@@ -1071,10 +1074,10 @@
             sender.step(vec![health_message(3, Purpose::Verdict, false)]);
         }
         sender.submit(FREE, 1);
-        tried += sends(&sender.advance(3 * SECOND)).len();
+        trials += sends(&sender.advance(3 * SECOND)).len();
     }
     // What the rule allows in its window, 0.2 x 10 x 2 x 3 s, and chance.
-    assert!((1..=24).contains(&tried), "{tried} trials in 3 s");
+    assert!((1..=24).contains(&trials), "{trials} trials in 3 s");
 }
 
 // ---- Registry
@@ -1095,7 +1098,11 @@
     sender.step(vec![Event::Registry(RegistryNews::Changes(vec![draining]))]);
     assert!(sends(&sender.submit(FREE, 1).1).is_empty());
     let replacement = RegistryNews::Changes(vec![listed(2, 1, 10.0)]);
-    assert_eq!(sends(&sender.step(vec![Event::Registry(replacement)])).len(), 1, "its replacement does");
+    assert_eq!(
+        sends(&sender.step(vec![Event::Registry(replacement)])).len(),
+        1,
+        "the replacement gets the message"
+    );
 }
 
 #[test]
@@ -1147,7 +1154,7 @@
         let turns: std::collections::BTreeSet<_> = asked.iter().map(|at| at[2] / (100 * MILLI)).collect();
         assert!(
             turns.len() > 10 || senders == 2,
-            "the third call comes in {} tenths of a second",
+            "the third calls fall into only {} different tenths of a second",
             turns.len()
         );
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -215,7 +215,7 @@
                 least = if after < least.0 { (after, seed) } else { least };
             }
             let text = format!(
-                "{senders} senders, {outcome:?}: {:.2} of what is chance (seed {}), then {:.2} of its capacity (seed {})",
+                "{senders} senders, {outcome:?}: excess {:.2} of what chance explains (seed {}), then {:.2} of the capacity (seed {})",
                 worst.0, worst.1, least.0, least.1
             );
             println!("{text}");
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -34,10 +34,13 @@
 fn the_nearest_zone_is_used_first_and_others_when_it_is_out() {
     let mut sender = sender();
     sender.step(vec![Event::Placed(vec![place(0, 0, 1.0), place(1, 1, 1.0), place(2, 2, 1.0)])]);
-    assert!(count_by_host(&mut sender, 20).keys().all(|host| *host <= 2), "its own zone");
+    assert!(count_by_host(&mut sender, 20).keys().all(|host| *host <= 2), "messages left the nearest zone");
     let gone = |host| Listed { zone: 0, lifecycle: Lifecycle::Draining, ..listed(host, 1, 400.0) };
     sender.step(vec![Event::Registry(RegistryNews::Changes(vec![gone(1), gone(2)]))]);
-    assert!(count_by_host(&mut sender, 20).keys().all(|host| [3, 4].contains(host)), "the next one");
+    assert!(
+        count_by_host(&mut sender, 20).keys().all(|host| [3, 4].contains(host)),
+        "messages did not go to the next zone"
+    );
 }
 
 #[test]
@@ -47,9 +50,12 @@
     let near: usize =
         count_by_host(&mut sender, 400).iter().filter(|(host, _)| **host <= 2).map(|(_, n)| n).sum();
     assert!((80..160).contains(&near), "{near} of 400 went to the zone that takes 0.3");
-    assert!(!count_by_host(&mut sender, 100).contains_key(&5), "zone 2 takes none");
+    assert!(!count_by_host(&mut sender, 100).contains_key(&5), "zone 2 received a message");
     sender.step(vec![Event::Placed(vec![place(0, 0, 0.0), place(1, 0, 0.0)])]);
-    assert!(count_by_host(&mut sender, 20).keys().all(|host| *host == 5), "what is not named takes all");
+    assert!(
+        count_by_host(&mut sender, 20).keys().all(|host| *host == 5),
+        "a zone without a placement takes all messages"
+    );
 }
 
 // Without the fallback, an outdated placement closes the only zone left, and messages wait for their
@@ -77,6 +83,6 @@
     let mut actions = sender.step(vec![Event::Placed(vec![place(0, 0, 0.0)])]);
     actions.extend(sender.outcome(&sent, Outcome::Timeout));
     actions.extend(sender.advance(6 * SECOND));
-    assert_eq!(sends(&actions), [], "neither there nor elsewhere");
-    assert_eq!(failed(&actions), [id], "its end is told once its window is over");
+    assert_eq!(sends(&actions), [], "the message was sent again");
+    assert_eq!(failed(&actions), [id], "the message fails once its window is over");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -57,7 +57,7 @@
     }
 
     fn answered(&mut self, now: Micros, id: MessageId) {
-        let known = self.known.get_mut(&id).expect("a message that was handed in");
+        let known = self.known.get_mut(&id).expect("unknown message");
         assert!(!known.answered, "{id:?} was answered twice");
         assert!(now <= known.request.deadline + 20 * MILLI, "{id:?} was answered late");
         known.answered = true;
@@ -98,26 +98,26 @@
         // Messages of one call share a slot.
         let slots = self.settings.slots * self.settings.kinds[0].bundle;
         let before = self.out().count();
-        let known = self.known.get_mut(&id).expect("a message that was handed in");
+        let known = self.known.get_mut(&id).expect("unknown message");
         let class = &self.settings.classes[known.request.class];
         let (destination, told) = self.hosts[&host];
         let route = route(&self.settings, destination, host);
-        assert!(!known.answered, "sent {id:?} after its end");
-        assert!(known.out.is_none(), "two attempts of {id:?}");
+        assert!(!known.answered, "sent {id:?} after its final answer");
+        assert!(known.out.is_none(), "two attempts of {id:?} in flight");
         assert!(before < slots, "more calls than slots");
-        assert_eq!(destination, known.request.destination, "sent to a foreign host");
+        assert_eq!(destination, known.request.destination, "sent to a host of another destination");
         assert!(
             told.is_none_or(|told| now <= told + self.settings.drain_grace),
             "sent to a host that drains"
         );
         assert!(known.attempts < self.settings.max_attempts, "too many attempts");
-        assert!(self.waits.get(&route).is_none_or(|until| now >= *until), "a wait was broken");
+        assert!(self.waits.get(&route).is_none_or(|until| now >= *until), "sent before the end of a wait");
         match (class.effect, known.ran) {
             (Effect::SingleShot, Some(_)) => panic!("{id:?} may run twice"),
             (Effect::Guarded { window, group }, Some(ran)) => {
-                assert!(now < ran.at + window, "{id:?} after its window");
+                assert!(now < ran.at + window, "sent {id:?} after its window");
                 let inside = group == Group::All || ran.zone == Some(zone(host));
-                assert!(inside, "{id:?} outside its zone");
+                assert!(inside, "sent {id:?} outside its zone");
             }
             _ => {}
         }
@@ -125,16 +125,16 @@
         known.attempts += 1;
         known.out = Some((host, now, now + timeout));
         if let Some((queue, rest)) = key.and_then(|key| self.keys.get(&key)) {
-            assert!(now >= *rest, "a key was not left to rest");
+            assert!(now >= *rest, "sent while its key was paused");
             let earlier = queue.iter().take_while(|other| **other != id).map(|other| &self.known[other]);
             let over = |known: &Known| known.answered && known.out.is_none() && !known.unreported;
-            assert!(earlier.into_iter().all(over), "out of order");
+            assert!(earlier.into_iter().all(over), "sent out of order");
         }
     }
 
     fn ended(&mut self, now: Micros, id: MessageId, outcome: Outcome) -> Ended {
-        let known = self.known.get_mut(&id).expect("an attempt that is out");
-        let (host, sent_at, _) = known.out.take().expect("an attempt that is out");
+        let known = self.known.get_mut(&id).expect("no attempt in flight");
+        let (host, sent_at, _) = known.out.take().expect("no attempt in flight");
         if outcome.may_have_run() {
             known.ran.get_or_insert(Ran { at: sent_at, zone: Some(zone(host)) });
         }
@@ -328,7 +328,7 @@
     let (id, actions) = sender.submit(GUARDED, 1);
     let mut actions = sender.outcome(&sends(&actions)[0], Outcome::Full { wait: 0 });
     actions.extend(sender.advance(3 * SECOND));
-    assert_eq!(sends(&actions).len(), 1, "the second attempt is out");
+    assert_eq!(sends(&actions).len(), 1, "the second attempt is in flight");
     let ends = sender.advance(12 * SECOND);
     assert_eq!((failed(&ends), refused(&ends)), (vec![id], vec![]));
 }
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -32,11 +32,11 @@
     let silent = Settings { senders: 60, listing: Listing::Silent, max_retry_after: 0, ..settings() };
     let silent = Settings { ask_registry: true, ..silent };
     let alone = Settings { may_tell: false, listing: Listing::Rough, ..silent.clone() };
-    let hash = SipHasher13::new_with_keys(0, 0);
-    let hash = World::new(many, 6, true, hash).play();
-    let hash = World::new(rough, 3, true, hash).play();
-    let hash = World::new(silent, 5, false, hash).play();
-    let hash = World::new(alone, 5, true, hash).play();
-    let found = hash.finish();
-    assert_eq!(found, EXPECTED_HASH, "what is decided has changed: {found:#018x}");
+    let hasher = SipHasher13::new_with_keys(0, 0);
+    let hasher = World::new(many, 6, true, hasher).play();
+    let hasher = World::new(rough, 3, true, hasher).play();
+    let hasher = World::new(silent, 5, false, hasher).play();
+    let hasher = World::new(alone, 5, true, hasher).play();
+    let found = hasher.finish();
+    assert_eq!(found, EXPECTED_HASH, "the decisions have changed; new hash: {found:#018x}");
 }
