--- a/src/brain/admission.rs
+++ b/src/brain/admission.rs
@@ -41,7 +41,7 @@
         let drain_time = |destination: DestinationId, count: f64| {
             let since = |host: &Host| if host.is_open() { host.failing_since } else { self.now };
             let outage = self.state.hosts_of(destination).map(|(_, host)| self.now - since(host)).min();
-            let rate = |route: &Route| if route.is_limited { pace(route) } else { f64::MAX };
+            let rate = |route: &Route| if route.is_limited { send_rate(route) } else { f64::MAX };
             let rates: f64 = self.state.routes_of(destination).map(rate).sum();
             let drain = (count / rates.max(MIN_POOL / f64::from(self.settings.senders)) * 1e6) as Micros;
             drain.max(ROUND / 2) + outage.unwrap_or(0)
--- a/src/brain/backoff.rs
+++ b/src/brain/backoff.rs
@@ -22,7 +22,7 @@
         let news = until > route.wait_until + REFUSAL_BACKOFF;
         route.hold_paced(until);
         if news {
-            self.post(None, Purpose::Wait, Record::of_wait(id, wait));
+            self.send_memo(None, Purpose::Wait, Record::of_wait(id, wait));
         }
     }
 }
--- a/src/brain/choice.rs
+++ b/src/brain/choice.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Call timeout in units of the silence limit; its factor per earlier attempt and for calls not to be
+/// Call timeout in units of the silence limit; its times per earlier attempt and for calls not to be
 /// repeated. Lost calls hold slots; calls given up too early are done twice.
 const TIMEOUT_FACTOR: Micros = 2;
 const RETRY_FACTOR: Micros = 8;
@@ -43,14 +43,14 @@
 
     /// The best host for a message: not suspect, then nearest, least busy, with an idle connection.
     fn choose_host(&self, message: &Message) -> Option<HostId> {
-        let fit = |host: &Host| self.is_allowed(host, message) && self.has_room(host, message);
+        let is_eligible = |host: &Host| self.is_allowed(host, message) && self.can_take(host, message);
         let rank = |id: HostId, host: &Host| {
             let route = &self.state.routes[&host.route];
-            let doubtful = is_suspect(host, route, self.now) || host.health != Health::Closed;
-            let near = self.state.rank(host);
-            (doubtful, near, host.calls, host.idle.is_empty(), scattered(id.0, self.seed))
+            let suspect = is_suspect(host, route, self.now) || host.health != Health::Closed;
+            let zone_rank = self.state.rank(host);
+            (suspect, zone_rank, host.calls, host.idle.is_empty(), scattered(id.0, self.seed))
         };
-        let hosts = self.state.hosts_of(message.request.destination).filter(|(_, host)| fit(host));
+        let hosts = self.state.hosts_of(message.request.destination).filter(|(_, host)| is_eligible(host));
         hosts.min_by_key(|(id, host)| rank(*id, host)).map(|(id, _)| id)
     }
 
@@ -66,19 +66,19 @@
     }
 
     /// Whether a host can take this message now: permits, connections, health.
-    fn has_room(&self, host: &Host, message: &Message) -> bool {
+    fn can_take(&self, host: &Host, message: &Message) -> bool {
         let (route, class) = (&self.state.routes[&host.route], self.class(message));
         // After a refusal, or while the host is suspect, one call at a time until one succeeds.
-        let doubtful = is_suspect(host, route, self.now);
-        let spent = host.calls > 0 && (route.refusals_in_row > 0 || doubtful);
-        if spent || self.now < host.connect_retry_at || (route.is_limited && route.tokens < 1.0) {
+        let suspect = is_suspect(host, route, self.now);
+        let is_busy = host.calls > 0 && (route.refusals_in_row > 0 || suspect);
+        if is_busy || self.now < host.connect_retry_at || (route.is_limited && route.tokens < 1.0) {
             return false;
         }
         // A message that must not run twice is lost with a failed call: it awaits a healthy host.
-        let precious = class.effect == Effect::SingleShot && message.age(class, self.now) < class.aim;
+        let must_not_fail = class.effect == Effect::SingleShot && message.age(class, self.now) < class.aim;
         match host.health {
-            Health::Open => !precious && !host.trial && host.cold_tokens >= 1.0,
-            _ if precious && doubtful => false,
+            Health::Open => !must_not_fail && !host.trial && host.cold_tokens >= 1.0,
+            _ if must_not_fail && suspect => false,
             Health::Closed => true,
             Health::SlowStart { .. } => host.cold_tokens >= 1.0,
         }
--- a/src/brain/connections.rs
+++ b/src/brain/connections.rs
@@ -5,7 +5,7 @@
 /// Factors on the maximum idle time: after a call was lost on an idle connection, and after each round.
 pub(super) const IDLE_CUT: f64 = 0.5;
 pub(super) const IDLE_GROWTH: f64 = 1.1;
-/// How long a kind's tables count as full (us; longer than connections idle), and when it is told again.
+/// How long a kind's tables count as full (us), longer than idle connections, and when it is reported again.
 const FULL_EXPIRY: Micros = 30_000_000;
 const FULL_REPORT_AFTER: Micros = FULL_EXPIRY / 2;
 /// Minimum calls that a sender at a host's limit sends within a connection's idle time for it to be kept.
@@ -34,9 +34,9 @@
 
     /// Closes the idle connections to a host that are unlikely to be used again before they time out.
     fn close_spare(&mut self, id: HostId) {
-        let (idle_close, senders) = (seconds(self.settings.idle_close), f64::from(self.settings.senders));
+        let (idle_s, senders) = (seconds(self.settings.idle_close), f64::from(self.settings.senders));
         let Some((host, route)) = self.state.host_and_route(id) else { return };
-        if !host.idle.is_empty() && source(route) / route.hosts.max(1.0) / senders * idle_close < MIN_REUSE {
+        if !host.idle.is_empty() && max_rate(route) / route.hosts.max(1.0) / senders * idle_s < MIN_REUSE {
             host.idle.clear();
             self.actions.push(Action::CloseIdle(id));
         }
@@ -48,7 +48,7 @@
         let (kind, destination, now) = (*kind, route.0, self.now);
         let before = self.full_at[kind].replace(now);
         if seen && before.is_none_or(|at| now >= at + FULL_REPORT_AFTER) {
-            self.post(None, Purpose::Crowded, Record::of_host(destination, id, false));
+            self.send_memo(None, Purpose::Crowded, Record::of_host(destination, id, false));
         }
         if before.is_none_or(|at| now >= at + FULL_EXPIRY) {
             self.state.hosts_of_kind(kind).into_iter().for_each(|id| self.close_spare(id));
--- a/src/brain/health.rs
+++ b/src/brain/health.rs
@@ -40,12 +40,12 @@
         }
         if first {
             self.adapt_idle(attempt.host, outcome, idle_for);
-            self.observe(attempt.host, outcome, attempt.sent_at, limit);
+            self.record_outcome(attempt.host, outcome, attempt.sent_at, limit);
         }
     }
 
     /// Records an outcome on its host and route.
-    pub(super) fn observe(
+    pub(super) fn record_outcome(
         &mut self, id: HostId, outcome: Outcome, sent_at: Micros, limit: Option<Allowance>,
     ) {
         let now = self.now;
--- a/src/brain/list.rs
+++ b/src/brain/list.rs
@@ -12,12 +12,12 @@
         let whole = matches!(news, RegistryNews::Whole(_));
         let (RegistryNews::Whole(entries) | RegistryNews::Changes(entries)) = news else {
             // Senders that retry at one pace keep a registry overloaded: calls queue until abandoned.
-            let (apart, senders) = (matches!(news, RegistryNews::Refused), u64::from(self.settings.senders));
-            let most = if apart { REFUSED_BACKOFF.1 } else { self.settings.ask_within };
-            let least = if apart { REFUSED_BACKOFF.0 * senders } else { ASK_BACKOFF };
-            let part = if apart { 0.25 + chance(self.now, self.seed) / 2.0 } else { 0.5 };
-            let pause = (2 * self.timers.ask_pause).max(least).min(most).max(ASK_BACKOFF);
-            let ask_at = self.now + (pause as f64 * (0.5 + part)) as Micros;
+            let (refused, count) = (matches!(news, RegistryNews::Refused), u64::from(self.settings.senders));
+            let max_pause = if refused { REFUSED_BACKOFF.1 } else { self.settings.ask_within };
+            let min_pause = if refused { REFUSED_BACKOFF.0 * count } else { ASK_BACKOFF };
+            let jitter = if refused { 0.25 + chance(self.now, self.seed) / 2.0 } else { 0.5 };
+            let pause = (2 * self.timers.ask_pause).max(min_pause).min(max_pause).max(ASK_BACKOFF);
+            let ask_at = self.now + (pause as f64 * (0.5 + jitter)) as Micros;
             let ask_at = self.settings.ask_registry.then_some(ask_at);
             return (self.timers.ask_pause, self.timers.ask_at) = (pause, ask_at);
         };
@@ -41,11 +41,11 @@
 
     /// Restores what an earlier process had learnt: limits, answer times, and outages that are still recent.
     pub(super) fn restore_learnt(&mut self, learnt: &Learnt) {
-        let (now, apart) = (self.now, self.settings.overload_window);
+        let (now, window) = (self.now, self.settings.overload_window);
         let kept = learnt.routes.iter().filter(|old| self.state.restore_route(old)).count();
         for (id, since) in learnt.out.iter().filter(|_| now < learnt.at + REPORT_EXPIRY) {
             let Some(host) = self.state.hosts.get_mut(id) else { continue };
-            host.record_failure(TRIP, *since, now, apart);
+            host.record_failure(TRIP, *since, now, window);
             (host.failing_since, host.failed) = (*since.min(&now), true);
             self.set_health(*id, Health::Open, "open", "was out before the restart");
         }
--- a/src/brain/mod.rs
+++ b/src/brain/mod.rs
@@ -24,7 +24,7 @@
 use health::{is_suspect, max_silence};
 use peers::{HOMES, homes};
 use recovery::OUTAGE_RATE;
-use shares::{BURST, MIN_POOL, pace, report, source, start_limiting, update_share};
+use shares::{BURST, MIN_POOL, max_rate, report, send_rate, start_limiting, update_share};
 
 /// Length of a reallocation round (us); the design's default.
 const ROUND: Micros = 2_000_000;
@@ -90,7 +90,7 @@
                 Event::Ended(ended) => self.finish_attempt(ended),
                 Event::Opened { id, attempt } => self.check_again(id, attempt),
                 Event::Stalled { id, attempt, stalled } => self.state.set_stalled(id, attempt, stalled),
-                Event::Probed { host, outcome, limit } => self.observe(host, outcome, now, limit),
+                Event::Probed { host, outcome, limit } => self.record_outcome(host, outcome, now, limit),
                 Event::Peer { from, bytes } => self.handle_peer(from, &bytes),
                 Event::Learnt(learnt) => self.restore_learnt(&learnt),
                 Event::Placed(placements) => self.state.set_placements(placements),
--- a/src/brain/peers.rs
+++ b/src/brain/peers.rs
@@ -16,7 +16,7 @@
     /// Reports the round to the homes of the routes in use; one, in rotation, is asked for sums.
     pub(super) fn report_round(&mut self) {
         let (me, senders) = (self.settings.me, self.settings.senders);
-        let leaves = self.now + ROUND > self.stop_at;
+        let stops = self.now + ROUND > self.stop_at;
         let mut records = Vec::new();
         for (id, route) in &self.state.routes {
             let waits = self.drain_times.contains_key(&id.0);
@@ -24,11 +24,11 @@
             for home in homes.iter().filter(|home| **home != me) {
                 let asks = route.is_limited && *home == homes[0] && !route.is_home;
                 // Without this, the permits of a sender that stops lie idle until its reports expire.
-                let report = if leaves { report(route, waits).on_leaving() } else { report(route, waits) };
+                let report = if stops { report(route, waits).at_stop() } else { report(route, waits) };
                 records.push((*home, Record { destination: id.0, host: id.1, report, asks, up: None }));
             }
         }
-        records.into_iter().for_each(|(home, record)| self.post(Some(home), Purpose::Round, record));
+        records.into_iter().for_each(|(home, record)| self.send_memo(Some(home), Purpose::Round, record));
     }
 
     /// Reports a host's failure or recovery to the homes at once.
@@ -38,12 +38,12 @@
             if home == self.settings.me {
                 self.count_reports(home, id, up);
             } else {
-                self.post(Some(home), Purpose::News, Record::of_host(destination, id, up));
+                self.send_memo(Some(home), Purpose::News, Record::of_host(destination, id, up));
             }
         }
     }
 
-    pub(super) fn post(&mut self, to: Option<u16>, purpose: Purpose, record: Record) {
+    pub(super) fn send_memo(&mut self, to: Option<u16>, purpose: Purpose, record: Record) {
         if self.settings.may_tell && self.settings.senders > 1 {
             self.actions.push(Action::Tell { to, bytes: memo::encode(&Memo { purpose, record }) });
         }
@@ -52,18 +52,18 @@
     /// Handles a peer message. It may change shares and hold calls back; it never ends a wait.
     pub(super) fn handle_peer(&mut self, from: u16, bytes: &[u8]) {
         let Some(memo) = memo::decode(bytes).filter(|_| from < self.settings.senders) else { return };
-        let (told, now, senders) = (memo.record, self.now, self.settings.senders);
-        let (id, waits) = ((told.destination, told.host), self.drain_times.contains_key(&told.destination));
+        let (data, now, senders) = (memo.record, self.now, self.settings.senders);
+        let (id, waits) = ((data.destination, data.host), self.drain_times.contains_key(&data.destination));
         let from_home = || homes(id.0, senders, now).contains(&from);
-        match (memo.purpose, told.host.zip(told.up), self.state.routes.get_mut(&id)) {
+        match (memo.purpose, data.host.zip(data.up), self.state.routes.get_mut(&id)) {
             (Purpose::News, Some((host, up)), _) => self.count_reports(from, host, up),
             (Purpose::Verdict, Some((host, up)), _) if from_home() => self.apply_verdict(host, up),
             (Purpose::Crowded, Some((host, _)), _) => self.mark_full(host, false),
             (Purpose::Round, None, Some(route)) => {
-                route.reports.insert(from, (now, told.report));
-                if told.asks {
+                route.reports.insert(from, (now, data.report));
+                if data.asks {
                     let report = route.others(from, REPORT_FRESH, REPORT_EXPIRY, now) + report(route, waits);
-                    self.post(Some(from), Purpose::Sums, Record { report, asks: false, ..told });
+                    self.send_memo(Some(from), Purpose::Sums, Record { report, asks: false, ..data });
                 }
             }
             (Purpose::Wait, None, Some(route)) => {
@@ -72,12 +72,12 @@
                     start_limiting(route, f64::from(senders), now);
                     route.tokens = chance(now, self.seed);
                 }
-                route.hold_paced(now + told.wait().min(REPORT_EXPIRY) + CHECK_INTERVAL);
+                route.hold_paced(now + data.wait().min(REPORT_EXPIRY) + CHECK_INTERVAL);
             }
             (Purpose::Sums, None, Some(route)) => {
-                route.others_sum = Some((now, told.report));
+                route.others_sum = Some((now, data.report));
                 if let Some(mine) = route.pending_report.take() {
-                    route.refill(pace(route), seconds(BURST), now);
+                    route.refill(send_rate(route), seconds(BURST), now);
                     update_share(route, mine, &self.settings, now);
                 }
             }
@@ -93,13 +93,13 @@
         host.add_failure_report((!up).then_some(from), REPORT_EXPIRY, now);
         let all = route.others(me, REPORT_FRESH, REPORT_EXPIRY, now) + report(route, false);
         let served = (all.used - all.refused) / route.hosts.max(1.0);
-        let known = if up { host.declared_down_at > 0 } else { now < host.last_verdict_at + ROUND };
-        let stands = up || now < host.declared_down_at + REPORT_EXPIRY;
-        let most = served * OUTAGE_RATE * (REPORT_EXPIRY / ROUND) as f64;
-        let enough = stands || host.failure_reports.len() as f64 >= TRIP.max(most);
+        let announced = if up { host.declared_down_at > 0 } else { now < host.last_verdict_at + ROUND };
+        let is_confirmed = up || now < host.declared_down_at + REPORT_EXPIRY;
+        let min_reporters = served * OUTAGE_RATE * (REPORT_EXPIRY / ROUND) as f64;
+        let has_quorum = is_confirmed || host.failure_reports.len() as f64 >= TRIP.max(min_reporters);
         let destination = host.route.0;
-        if known == up && enough && homes(destination, self.settings.senders, now)[0] == me {
-            self.post(None, Purpose::Verdict, Record::of_host(destination, id, up));
+        if announced == up && has_quorum && homes(destination, self.settings.senders, now)[0] == me {
+            self.send_memo(None, Purpose::Verdict, Record::of_host(destination, id, up));
             self.apply_verdict(id, up);
         }
     }
--- a/src/brain/recovery.rs
+++ b/src/brain/recovery.rs
@@ -19,8 +19,8 @@
         } else {
             host.failing_since.max(host.ok_at)
         };
-        let seen = host.failed || host.failure_score < TRIP; // or told
-        let cold = host.cold || (seen && self.now - since >= self.settings.overload_window);
+        let observed = host.failed || host.failure_score < TRIP; // or only reported
+        let cold = host.cold || (observed && self.now - since >= self.settings.overload_window);
         (host.failure_score, host.failed) = (0.0, false);
         let slow = Health::SlowStart { since: self.now };
         let (health, how) = if cold { (slow, "slow start") } else { (Health::Closed, "closed") };
@@ -32,7 +32,7 @@
         let (now, senders, settings) = (self.now, f64::from(self.settings.senders), &self.settings);
         let wanted = self.state.waiting_counts();
         for destination in wanted.keys() {
-            self.state.routes_of_mut(*destination).for_each(|r| r.refill(pace(r), seconds(BURST), now));
+            self.state.routes_of_mut(*destination).for_each(|r| r.refill(send_rate(r), seconds(BURST), now));
         }
         let hosts = wanted.keys().flat_map(|destination| self.state.hosts_of(*destination));
         for id in hosts.map(|(id, _)| id).collect::<Vec<_>>() {
@@ -47,7 +47,7 @@
                 continue;
             }
             let part = settings.cold_share + (1.0 - settings.cold_share) * ramp;
-            let known = if route.is_limited { route.pool.min(source(route)) } else { source(route) };
+            let known = if route.is_limited { route.pool.min(max_rate(route)) } else { max_rate(route) };
             let rough = settings.listing == Listing::Rough && route.told_limit.is_none();
             let capacity = known / route.hosts.max(1.0) / if rough { ROUGH_FACTOR } else { 1.0 };
             // No more senders can have something to send than messages came since.
--- a/src/brain/shares.rs
+++ b/src/brain/shares.rs
@@ -29,22 +29,22 @@
     (mine.designated + passed * (gained - mine.spare)) / all.designated.max(f64::MIN_POSITIVE)
 }
 
-/// An even share. This departs from the design: at least one permit a round, as many senders would get less
-/// on a route that few of them use. The pool may be overspent until reports arrive.
+/// An even share. Unlike in the design it is at least one permit a round: with many senders it would be less,
+/// though few of them use the route. The pool may be overspent until reports arrive.
 fn even_share(route: &Route, senders: f64) -> f64 {
     let least = if route.adapts_alone() { 0.0 } else { 1.0 / (route.pool * seconds(ROUND)) };
     (1.0 / senders).max(least).min(1.0)
 }
 
 /// The limit as best known, in the design's order; the last choice is the rate seen to succeed.
-pub(super) fn source(route: &Route) -> f64 {
+pub(super) fn max_rate(route: &Route) -> f64 {
     route.told_limit.or(route.listed).unwrap_or(route.peak).max(MIN_POOL)
 }
 
 /// This sender's report on the round so far. One with messages waiting has no surplus.
-pub(super) fn report(route: &Route, waits: bool) -> Report {
+pub(super) fn report(route: &Route, has_waiting: bool) -> Report {
     let designated = if route.is_limited { route.share * route.pool * seconds(ROUND) } else { route.used };
-    let is_full = waits || (route.used > 0.0 && route.used + 1.0 > designated); // whole permits
+    let is_full = has_waiting || (route.used > 0.0 && route.used + 1.0 > designated); // whole permits
     let (full, spare) = if is_full { (designated, 0.0) } else { (0.0, designated - route.used) };
     let (limits, tellers) = route.round_limit.map_or((0.0, 0.0), |rate| (rate, 1.0));
     let (used, refused) = (route.used, route.refused);
@@ -52,18 +52,18 @@
 }
 
 /// A sender's rate in calls per second. Unlike in the design, unused permits are lent for a round.
-pub(super) fn pace(route: &Route) -> f64 {
+pub(super) fn send_rate(route: &Route) -> f64 {
     route.share * route.pool + route.slack
 }
 
 /// Closes a round; returns whether a home saw only refusals for two. Sums combined with a later report are a
 /// round old and make the shares of many senders oscillate: shares are updated as sums arrive.
-fn close_round(route: &mut Route, waits: bool, settings: &Settings, now: Micros) -> bool {
-    route.refill(pace(route), seconds(BURST), now);
-    let mine = report(route, waits);
+fn close_round(route: &mut Route, has_waiting: bool, settings: &Settings, now: Micros) -> bool {
+    route.refill(send_rate(route), seconds(BURST), now);
+    let mine = report(route, has_waiting);
     route.pending_report = Some(mine).filter(|_| route.is_limited && !route.is_home);
-    let later = route.pending_report.is_some() && route.knows_others(REPORT_EXPIRY, now);
-    let all = if later { mine } else { update_share(route, mine, settings, now) };
+    let is_deferred = route.pending_report.is_some() && route.knows_others(REPORT_EXPIRY, now);
+    let all = if is_deferred { mine } else { update_share(route, mine, settings, now) };
     let all_refused = all.used - all.refused <= 0.0 && all.refused > TRIP;
     route.refused_rounds = if all_refused { route.refused_rounds + 1 } else { 0 };
     route.start_round();
@@ -86,17 +86,17 @@
             route.pool *= POOL_INCREASE;
         }
         let rough = settings.listing != Listing::Nominal && route.told_limit.is_none();
-        let source = source(route);
-        let (alone, part) = if route.adapts_alone() { (true, 1.0) } else { (false, MIN_POOL_PART) };
-        route.pool = route.pool.clamp(source * part, if rough { f64::MAX } else { source });
-        let knows_others = route.knows_others(REPORT_EXPIRY, now); // nothing: an even slice
+        let max_rate = max_rate(route);
+        let (adapts_alone, part) = if route.adapts_alone() { (true, 1.0) } else { (false, MIN_POOL_PART) };
+        route.pool = route.pool.clamp(max_rate * part, if rough { f64::MAX } else { max_rate });
+        let knows_others = route.knows_others(REPORT_EXPIRY, now); // otherwise an even share
         let slack = if refused > 0.0 || !knows_others { 0.0 } else { (route.pool - used).max(0.0) };
         route.slack = slack / all.senders.max(1.0);
         let share = if knows_others { reallocate(&mine, &all) } else { even_share(route, senders) };
         // If refused calls count against a limit and no sender reports, all would retry and none succeed.
         let gained = if served * mine.full > 0.0 { MIN_SHARE / senders } else { 0.0 };
-        let found = if refused > 0.0 { route.share * POOL_DECREASE } else { route.share + gained };
-        route.share = if alone { found } else { share }.max(MIN_SHARE / senders);
+        let adapted = if refused > 0.0 { route.share * POOL_DECREASE } else { route.share + gained };
+        route.share = if adapts_alone { adapted } else { share }.max(MIN_SHARE / senders);
     }
     all
 }
@@ -105,7 +105,7 @@
 pub(super) fn start_limiting(route: &mut Route, senders: f64, now: Micros) {
     if !route.is_limited {
         route.is_limited = true;
-        route.pool = source(route).max(route.peak);
+        route.pool = max_rate(route).max(route.peak);
         route.share = even_share(route, senders);
     }
     (route.tokens, route.refilled_at) = (0.0, now);
@@ -115,13 +115,13 @@
     pub(super) fn close_rounds(&mut self) {
         self.timers.round_at = (self.now / ROUND + 1) * ROUND + self.seed % ROUND; // apart from the peers'
         self.report_round();
-        let mut shut = Vec::new();
+        let mut down_routes = Vec::new();
         for (id, route) in &mut self.state.routes {
-            let waits = self.drain_times.contains_key(&id.0);
-            shut.extend(close_round(route, waits, &self.settings, self.now).then_some(*id));
+            let has_waiting = self.drain_times.contains_key(&id.0);
+            down_routes.extend(close_round(route, has_waiting, &self.settings, self.now).then_some(*id));
         }
         // Down rather than limited: it may come back cold, and a sender sees two refusals at most.
-        for host in shut.into_iter().flat_map(|id| self.state.closed_hosts(id)).collect::<Vec<_>>() {
+        for host in down_routes.into_iter().flat_map(|id| self.state.closed_hosts(id)).collect::<Vec<_>>() {
             self.record_failure(host, TRIP, self.now, "refuses all");
         }
         let most = self.settings.idle_close as f64;
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -76,10 +76,10 @@
         self.failure_reports.extend(by.map(|by| (by, now)));
     }
 
-    /// Refills the tokens up to now at `pace` calls per second, while the host is open or cold; at most one
+    /// Refills the tokens up to now at `rate` calls per second, while the host is open or cold; at most one
     /// is saved up.
-    pub fn refill(&mut self, pace: f64, now: Micros) {
-        self.cold_tokens = (self.cold_tokens + pace * seconds(now - self.refilled_at)).min(1.0);
+    pub fn refill(&mut self, rate: f64, now: Micros) {
+        self.cold_tokens = (self.cold_tokens + rate * seconds(now - self.refilled_at)).min(1.0);
         self.refilled_at = now;
     }
 
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Records failures that began at `since`. Series of failures less than `apart` apart count as one, and
+    /// Records failures that began at `since`. Series of failures less than `min_gap` apart count as one, and
     /// so do all failures until the breaker closes.
-    pub fn record_failure(&mut self, weight: f64, since: Micros, now: Micros, apart: Micros) {
+    pub fn record_failure(&mut self, weight: f64, since: Micros, now: Micros, min_gap: Micros) {
         self.failure_score += weight;
-        if self.health == Health::Closed && since > self.last_failure_at + apart {
+        if self.health == Health::Closed && since > self.last_failure_at + min_gap {
             (self.failing_since, self.failed) = (since, false);
         }
         self.last_failure_at = now;
--- a/src/state/report.rs
+++ b/src/state/report.rs
@@ -26,7 +26,7 @@
     }
 
     /// What a stopping sender reports: the permits that it used, and no claim to any more.
-    pub fn on_leaving(self) -> Self {
+    pub fn at_stop(self) -> Self {
         Report { used: self.used, refused: self.refused, ..Report::default() }
     }
 
--- a/src/state/route.rs
+++ b/src/state/route.rs
@@ -128,11 +128,11 @@
         self.deviation += (off.abs() - self.deviation) * weight;
     }
 
-    /// Refills the tokens up to now at `pace` calls per second; at most `burst` seconds' worth is saved up,
+    /// Refills the tokens up to now at `rate` calls per second; at most `burst` seconds' worth is saved up,
     /// but at least one.
-    pub fn refill(&mut self, pace: f64, burst: f64, now: Micros) {
-        let gained = pace * seconds(now.saturating_sub(self.refilled_at));
-        self.tokens = (self.tokens + gained).min((pace * burst).max(1.0));
+    pub fn refill(&mut self, rate: f64, burst: f64, now: Micros) {
+        let gained = rate * seconds(now.saturating_sub(self.refilled_at));
+        self.tokens = (self.tokens + gained).min((rate * burst).max(1.0));
         self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,10 +12,11 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 /// What the test knows of a message, recorded apart from the module's own state.
-struct Known {
+struct TrackedMessage {
     request: Request,
     attempts: u32,
-    out: Option<(HostId, Micros, Micros)>,
+    /// Host of the attempt in flight, when it was sent, and when it times out.
+    in_flight: Option<(HostId, Micros, Micros)>,
     ran: Option<Ran>,
     answered: bool,
     /// Its final result is decided, but the client has not received it.
@@ -25,38 +26,39 @@
 /// Checks the rules for each action.
 struct RuleChecker {
     settings: Settings,
-    known: BTreeMap<MessageId, Known>,
+    known: BTreeMap<MessageId, TrackedMessage>,
     /// Messages of each key in the order of acceptance, and when the key's pause ends.
     keys: BTreeMap<u64, (Vec<MessageId>, Micros)>,
+    /// The destination of each host, and since when it drains.
     hosts: BTreeMap<HostId, (DestinationId, Option<Micros>)>,
     /// Keyed by host where each host has a limit of its own.
     waits: BTreeMap<(DestinationId, Option<HostId>), Micros>,
 }
 
 impl RuleChecker {
-    fn out(&self) -> impl Iterator<Item = (MessageId, &Known)> {
-        self.known.iter().filter(|(_, known)| known.out.is_some()).map(|(id, known)| (*id, known))
+    fn in_flight(&self) -> impl Iterator<Item = (MessageId, &TrackedMessage)> {
+        self.known.iter().filter(|(_, known)| known.in_flight.is_some()).map(|(id, known)| (*id, known))
     }
 
     fn check(&mut self, now: Micros, action: &Action) {
         match *action {
-            Action::Send { id, host, timeout, .. } => self.sent(now, id, host, timeout),
+            Action::Send { id, host, timeout, .. } => self.check_send(now, id, host, timeout),
             Action::Refuse { id, .. } => {
                 let known = &self.known[&id];
                 let harmless = match self.settings.classes[known.request.class].effect {
-                    Effect::SingleShot => known.ran.is_none() && known.out.is_none(),
+                    Effect::SingleShot => known.ran.is_none() && known.in_flight.is_none(),
                     _ => true,
                 };
                 assert!(harmless, "refused {id:?}, which may have run");
-                self.answered(now, id);
+                self.check_answer(now, id);
             }
-            Action::Fail(id) => self.answered(now, id),
+            Action::Fail(id) => self.check_answer(now, id),
             Action::Cancel { id, attempt } => assert!(attempt < self.known[&id].attempts, "{id:?}"),
             _ => {}
         }
     }
 
-    fn answered(&mut self, now: Micros, id: MessageId) {
+    fn check_answer(&mut self, now: Micros, id: MessageId) {
         let known = self.known.get_mut(&id).expect("unknown message");
         assert!(!known.answered, "{id:?} was answered twice");
         assert!(now <= known.request.deadline + 20 * MILLI, "{id:?} was answered late");
@@ -68,7 +70,7 @@
     /// acceptance.
     fn restart(&mut self, now: Micros) -> Vec<Event> {
         self.waits.clear();
-        self.hosts.values_mut().for_each(|(_, told)| *told = None);
+        self.hosts.values_mut().for_each(|(_, draining_since)| *draining_since = None);
         if !self.settings.ends_by_notice {
             self.known.clear();
             self.keys.clear();
@@ -76,12 +78,12 @@
         }
         let mut events = Vec::new();
         for known in self.known.values_mut() {
-            let cut = known.out.take();
+            let cut = known.in_flight.take();
             known.ran = known.ran.or(cut.map(|(host, at, _)| Ran { at, zone: Some(zone(host)) }));
-            if let (Some((_, rest)), Some(_)) =
+            if let (Some((_, paused_until)), Some(_)) =
                 (known.request.key.and_then(|key| self.keys.get_mut(&key)), cut)
             {
-                *rest = now + self.settings.order_rest;
+                *paused_until = now + self.settings.order_rest;
             }
             if !known.answered || known.unreported {
                 let (attempts, ran) = (known.attempts, known.ran);
@@ -94,20 +96,20 @@
         events
     }
 
-    fn sent(&mut self, now: Micros, id: MessageId, host: HostId, timeout: Micros) {
+    fn check_send(&mut self, now: Micros, id: MessageId, host: HostId, timeout: Micros) {
         // Messages of one call share a slot.
         let slots = self.settings.slots * self.settings.kinds[0].bundle;
-        let before = self.out().count();
+        let in_flight = self.in_flight().count();
         let known = self.known.get_mut(&id).expect("unknown message");
         let class = &self.settings.classes[known.request.class];
-        let (destination, told) = self.hosts[&host];
+        let (destination, draining_since) = self.hosts[&host];
         let route = route(&self.settings, destination, host);
         assert!(!known.answered, "sent {id:?} after its final answer");
-        assert!(known.out.is_none(), "two attempts of {id:?} in flight");
-        assert!(before < slots, "more calls than slots");
+        assert!(known.in_flight.is_none(), "two attempts of {id:?} in flight");
+        assert!(in_flight < slots, "more calls than slots");
         assert_eq!(destination, known.request.destination, "sent to a host of another destination");
         assert!(
-            told.is_none_or(|told| now <= told + self.settings.drain_grace),
+            draining_since.is_none_or(|draining_since| now <= draining_since + self.settings.drain_grace),
             "sent to a host that drains"
         );
         assert!(known.attempts < self.settings.max_attempts, "too many attempts");
@@ -123,25 +125,26 @@
         }
         let key = known.request.key.filter(|_| class.in_order);
         known.attempts += 1;
-        known.out = Some((host, now, now + timeout));
-        if let Some((queue, rest)) = key.and_then(|key| self.keys.get(&key)) {
-            assert!(now >= *rest, "sent while its key was paused");
+        known.in_flight = Some((host, now, now + timeout));
+        if let Some((queue, paused_until)) = key.and_then(|key| self.keys.get(&key)) {
+            assert!(now >= *paused_until, "sent while its key was paused");
             let earlier = queue.iter().take_while(|other| **other != id).map(|other| &self.known[other]);
-            let over = |known: &Known| known.answered && known.out.is_none() && !known.unreported;
+            let over =
+                |known: &TrackedMessage| known.answered && known.in_flight.is_none() && !known.unreported;
             assert!(earlier.into_iter().all(over), "sent out of order");
         }
     }
 
-    fn ended(&mut self, now: Micros, id: MessageId, outcome: Outcome) -> Ended {
+    fn end_attempt(&mut self, now: Micros, id: MessageId, outcome: Outcome) -> Ended {
         let known = self.known.get_mut(&id).expect("no attempt in flight");
-        let (host, sent_at, _) = known.out.take().expect("no attempt in flight");
+        let (host, sent_at, _) = known.in_flight.take().expect("no attempt in flight");
         if outcome.may_have_run() {
             known.ran.get_or_insert(Ran { at: sent_at, zone: Some(zone(host)) });
         }
-        if let (Some((_, rest)), true) =
+        if let (Some((_, paused_until)), true) =
             (known.request.key.and_then(|key| self.keys.get_mut(&key)), outcome.may_still_run())
         {
-            *rest = now + self.settings.order_rest;
+            *paused_until = now + self.settings.order_rest;
         }
         if let Outcome::Full { wait } = outcome {
             let until = self.waits.entry(route(&self.settings, known.request.destination, host)).or_default();
@@ -214,10 +217,10 @@
                     if let Some(key) = key {
                         checker.keys.entry(key).or_default().0.push(id);
                     }
-                    let known = Known {
+                    let known = TrackedMessage {
                         request,
                         attempts: 0,
-                        out: None,
+                        in_flight: None,
                         ran: None,
                         answered: false,
                         unreported: false,
@@ -227,10 +230,10 @@
                 }
             }
             7..=11 => {
-                let out: Vec<_> = checker.out().map(|(id, _)| id).collect();
+                let out: Vec<_> = checker.in_flight().map(|(id, _)| id).collect();
                 if !out.is_empty() {
                     let id = out[usize::from(*choice) % out.len()];
-                    let ended = checker.ended(now, id, outcome(*choice, outcome_shift));
+                    let ended = checker.end_attempt(now, id, outcome(*choice, outcome_shift));
                     events.push(Event::Ended(ended));
                 }
             }
@@ -238,9 +241,9 @@
             13 => {
                 let host = HostId(u64::from(choice % 5) + 1);
                 let lifecycle = if choice & 64 == 0 { Lifecycle::Draining } else { Lifecycle::Ready };
-                let (destination, told) = checker.hosts[&host];
-                let told = (lifecycle != Lifecycle::Ready).then(|| told.unwrap_or(now));
-                checker.hosts.insert(host, (destination, told));
+                let (destination, draining_since) = checker.hosts[&host];
+                let draining_since = (lifecycle != Lifecycle::Ready).then(|| draining_since.unwrap_or(now));
+                checker.hosts.insert(host, (destination, draining_since));
                 let entry = Listed { lifecycle, zone: zone(host), ..listed(host.0, destination, 6.0) };
                 events.push(Event::Registry(RegistryNews::Changes(vec![entry])));
             }
@@ -281,16 +284,16 @@
             now += 10 * MILLI;
             events.push(Event::Timer);
             let due: BTreeSet<_> = checker
-                .out()
-                .filter(|(_, k)| k.out.is_some_and(|(_, _, at)| at <= now))
+                .in_flight()
+                .filter(|(_, k)| k.in_flight.is_some_and(|(_, _, at)| at <= now))
                 .map(|(id, _)| id)
                 .collect();
             for id in due {
-                let ended = checker.ended(now, id, Outcome::Timeout);
+                let ended = checker.end_attempt(now, id, Outcome::Timeout);
                 events.push(Event::Ended(ended));
             }
         }
-        let late = |known: &Known| !known.answered && now > known.request.deadline + 20 * MILLI;
+        let late = |known: &TrackedMessage| !known.answered && now > known.request.deadline + 20 * MILLI;
         assert!(!checker.known.values().any(late), "a message was not answered");
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -24,7 +24,7 @@
     request: Request,
     history: History,
     /// The attempt in flight: its number, when it was sent, and its host.
-    out: Option<(u32, Micros, HostId)>,
+    in_flight: Option<(u32, Micros, HostId)>,
     connect: Micros,
     timeout: Micros,
 }
@@ -50,7 +50,7 @@
     list: BTreeMap<HostId, Listed>,
     /// Calls to each destination per tenth of a second.
     calls: BTreeMap<(DestinationId, Micros), u64>,
-    hash: SipHasher13,
+    hasher: SipHasher13,
 }
 
 /// A pseudo-random number from its keys; it does not depend on the version of any crate.
@@ -61,15 +61,15 @@
 }
 
 impl World {
-    pub fn new(settings: Settings, count: usize, reports_opening: bool, hash: SipHasher13) -> Self {
-        let line = |host: u64| {
+    pub fn new(settings: Settings, count: usize, reports_opening: bool, hasher: SipHasher13) -> Self {
+        let entry = |host: u64| {
             let destination = (host % DESTINATIONS) as DestinationId;
             let kind = destination as usize % settings.kinds.len();
-            let line = Listed { zone: (host % 3) as u16, kind, ..listed(host, destination, 12.0) };
-            (line.host, line)
+            let entry = Listed { zone: (host % 3) as u16, kind, ..listed(host, destination, 12.0) };
+            (entry.host, entry)
         };
         let mut world = World {
-            list: (0..HOSTS).map(line).collect(),
+            list: (0..HOSTS).map(entry).collect(),
             brains: (0..count).map(|me| Brain::new(settings_of(&settings, me), me as u64 + 1)).collect(),
             held: (0..count).map(|_| BTreeMap::new()).collect(),
             due: BTreeMap::new(),
@@ -78,7 +78,7 @@
             draws: 0,
             settings,
             reports_opening,
-            hash,
+            hasher,
         };
         for me in 0..count {
             world.schedule(me, 0, Due::Fixed(Event::Registry(world.whole())));
@@ -87,9 +87,9 @@
         world
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
+    fn draw(&mut self, bound: u64) -> u64 {
         self.draws += 1;
-        pseudo_random(1, self.draws) % below
+        pseudo_random(1, self.draws) % bound
     }
 
     fn schedule(&mut self, me: usize, span: Micros, due: Due) {
@@ -114,11 +114,11 @@
             batch.into_iter().for_each(|(_, (_, due))| self.handle(me, due, &mut events));
             let actions = self.brains[me].step(self.now, events);
             for action in actions {
-                self.hash.write(format!("{} {me} {action:?}", self.now).as_bytes());
+                self.hasher.write(format!("{} {me} {action:?}", self.now).as_bytes());
                 self.act(me, action);
             }
         }
-        self.hash
+        self.hasher
     }
 
     fn handle(&mut self, me: usize, due: Due, events: &mut Vec<Event>) {
@@ -140,7 +140,7 @@
             let deadline = self.now + self.settings.classes[class].deadline;
             let history = History::default();
             let request = Request { id, class, destination, tenant, key, deadline, history };
-            self.held[me].insert(id, Held { request, history, out: None, connect: 0, timeout: 0 });
+            self.held[me].insert(id, Held { request, history, in_flight: None, connect: 0, timeout: 0 });
             events.push(Event::Message(request));
         }
         let pause =
@@ -176,11 +176,11 @@
         let destination = (host.0 % DESTINATIONS) as DestinationId;
         let (kind, zone) = (destination as usize % self.settings.kinds.len(), (host.0 % 3) as u16);
         let weight = 6.0 + self.draw(12) as f64;
-        let line = Listed { lifecycle, zone, kind, ..listed(host.0, destination, weight) };
-        self.list.insert(host, line);
-        let changes = RegistryNews::Changes(vec![line]);
+        let entry = Listed { lifecycle, zone, kind, ..listed(host.0, destination, weight) };
+        self.list.insert(host, entry);
+        let changes = RegistryNews::Changes(vec![entry]);
         let news = if self.draw(3) == 0 { self.whole() } else { changes };
-        self.list.retain(|_, line| line.lifecycle != Lifecycle::Gone);
+        self.list.retain(|_, entry| entry.lifecycle != Lifecycle::Gone);
         for me in 0..self.brains.len() {
             let pause = self.draw(50 * MILLI);
             self.schedule(me, pause, Due::Fixed(Event::Registry(news.clone())));
@@ -189,13 +189,13 @@
 
     fn restart(&mut self, me: usize, events: &mut Vec<Event>) {
         let learnt = self.brains[me].learnt();
-        self.hash.write(format!("{learnt:?}").as_bytes());
+        self.hasher.write(format!("{learnt:?}").as_bytes());
         self.brains[me] = Brain::new(settings_of(&self.settings, me), self.now);
         events.retain(|event| matches!(event, Event::Peer { .. }));
         self.due.retain(|_, (to, due)| *to != me || matches!(due, Due::Arrival));
         let mut first = vec![Event::Registry(self.whole()), Event::Learnt(learnt)];
         for held in self.held[me].values_mut() {
-            if let Some((_, at, _)) = held.out.take() {
+            if let Some((_, at, _)) = held.in_flight.take() {
                 held.history.cut_at = Some(at);
                 held.history.ran.get_or_insert(Ran { at, zone: None });
             }
@@ -208,7 +208,7 @@
 
     fn end(&mut self, me: usize, ended: Ended, events: &mut Vec<Event>) {
         let Some(held) = self.held[me].get_mut(&ended.id) else { return };
-        let Some((_, at, host)) = held.out.take_if(|out| out.0 == ended.attempt) else { return };
+        let Some((_, at, host)) = held.in_flight.take_if(|sent| sent.0 == ended.attempt) else { return };
         let zone = Some((host.0 % 3) as u16);
         if ended.outcome.may_have_run() {
             held.history.ran.get_or_insert(Ran { at, zone });
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -11,7 +11,7 @@
         match action {
             Action::Send { id, host, timeout, connect } => {
                 let Some(held) = self.held[me].get_mut(&id) else { return };
-                held.out = Some((held.history.attempts, self.now, host));
+                held.in_flight = Some((held.history.attempts, self.now, host));
                 held.history.attempts += 1;
                 (held.timeout, held.connect) = (timeout, connect);
                 let attempt = held.history.attempts - 1;
@@ -26,7 +26,7 @@
             Action::Withhold { id, .. } => {
                 if let Some(held) = self.held[me].get_mut(&id) {
                     held.history.attempts -= 1;
-                    held.out = None;
+                    held.in_flight = None;
                 }
             }
             Action::Cancel { id, attempt } => {
@@ -72,7 +72,7 @@
     /// Draws how a written call ends: each host behaves one way for some seconds, each destination has a
     /// limit.
     fn call(&mut self, me: usize, id: MessageId, new: bool) {
-        let Some((attempt, _, host)) = self.held[me].get(&id).and_then(|held| held.out) else { return };
+        let Some((attempt, _, host)) = self.held[me].get(&id).and_then(|held| held.in_flight) else { return };
         let (timeout, connect) = (self.held[me][&id].timeout, self.held[me][&id].connect);
         let destination = self.held[me][&id].request.destination;
         let limit = 6 + pseudo_random(3, u64::from(destination) + self.now / (30 * SECOND)) % 30;
