--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -1,4 +1,4 @@
-//! A message, its attempts, their calls, and the order of its key.
+//! Messages, their attempts and calls, and the queues of ordering keys.
 
 use std::collections::VecDeque;
 
@@ -11,26 +11,28 @@
     pub call: u64,
     pub host: HostId,
     pub sent_at: Micros,
-    /// Part of it waits to be written.
+    /// Part of the attempt's call waits to be written.
     pub stalled: bool,
 }
 
-/// A message that was taken.
+/// An accepted message.
 #[derive(Debug)]
 pub struct Message {
     pub request: Request,
     pub attempts: u32,
-    pub out: Option<Attempt>,
+    /// The attempt in flight.
+    pub in_flight: Option<Attempt>,
     /// The first attempt that may have run.
     pub ran: Option<Ran>,
-    /// Answered; kept only until its attempt has an outcome and its end is told.
-    pub over: bool,
-    /// Its end has yet to be told.
-    pub untold: bool,
+    /// Whether the message has its final answer; it is kept only until its attempt has an outcome and its
+    /// final result is reported.
+    pub finished: bool,
+    /// The final result has yet to be reported.
+    pub unreported: bool,
 }
 
 impl Message {
-    /// Time since it was first handed in.
+    /// Time since the message was first submitted.
     pub fn age(&self, class: &Class, at: Micros) -> Micros {
         at.saturating_sub(self.request.deadline.saturating_sub(class.deadline))
     }
@@ -45,14 +47,15 @@
     /// Messages that may still join it.
     pub room: usize,
     pub trial: bool,
-    pub judged: bool,
-    /// How long its connection had been idle; none for a new one.
+    /// An attempt of the call has ended, and its outcome is recorded.
+    pub outcome_recorded: bool,
+    /// How long its connection had been idle; `None` for a new one.
     pub idle_for: Option<Micros>,
 }
 
-/// The messages of one key, in the order taken.
+/// The messages of one ordering key, in the order in which they were accepted.
 #[derive(Debug, Default)]
 pub struct KeyQueue {
     pub queue: VecDeque<MessageId>,
-    pub rest_until: Micros,
+    pub paused_until: Micros,
 }
