--- a/crates/control/src/agreed.rs
+++ b/crates/control/src/agreed.rs
@@ -1,4 +1,4 @@
-//! The agreed state, and how entries change it.
+//! The agreed state, and how log entries change it.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::{Arc, OnceLock};
@@ -13,9 +13,10 @@
 use crate::effect::ControlError;
 use crate::entry::{Change, Command, CoreMember, Entry, RequestId, Stamp};
 
-/// So many accepted changes are remembered, so that a change that is sent again is acknowledged again. A day has hundreds.
-/// What becomes of one that is sent again later than that: see [`Agreed::may_have_forgotten`].
-const REMEMBERED_CHANGES: usize = 1000;
+/// The number of accepted changes that are remembered, so that a change that is sent again gets the same answer again.
+/// A day has hundreds of changes. [`Agreed::may_have_forgotten`] covers a change that is sent again after it was
+/// forgotten.
+const MAX_REMEMBERED_CHANGES: usize = 1000;
 
 /// An operator's change that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,12 +25,12 @@
     pub version: u64,
 }
 
-/// That an operator made one member the whole core.
+/// A record that an operator made one member the whole core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForcedEpoch {
-    /// The state that was put in place.
+    /// The state that the operator put in force.
     pub stamp: Stamp,
-    /// The one that it was made of. What had been agreed on after it is lost.
+    /// The state from which it was made. Everything that was agreed on after that state is lost.
     pub from: Stamp,
 }
 
@@ -37,24 +38,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Agreed {
     pub stamp: Stamp,
-    /// The core. A majority of it makes this state committed.
+    /// The core. This state is committed once a majority of the core has accepted it.
     pub core: CoreMembership,
-    /// The leader that last began an epoch.
+    /// The leader of the newest epoch that has begun.
     pub last_leader: Option<NodeName>,
-    /// What all processes use. Its index is the stamp's.
+    /// The state that all processes use. Its index equals the index of the stamp.
     pub state: ControlState,
     changes: Arc<VecDeque<AcceptedChange>>,
-    /// The version that the newest change which is no longer remembered led to; 0 if all are.
+    /// The version that resulted from the newest change that is no longer remembered; 0 if all are remembered.
     #[serde(default)]
     forgotten: u64,
     /// Epochs that an operator forced after disks of the core were lost.
     pub forced: Vec<ForcedEpoch>,
-    /// The configuration in a form that changes apply to; made where it is needed.
+    /// The parsed configuration, to which changes are applied; parsed when it is first needed.
     #[serde(skip)]
     live: Live,
 }
 
-/// What follows from the text of a configuration. It does not count when states are compared.
+/// A cache of the parsed configuration. It is ignored when states are compared.
 #[derive(Clone, Debug, Default)]
 struct Live(OnceLock<Arc<LiveConfig>>);
 
@@ -68,25 +69,25 @@
 
 impl Agreed {
     /// The first state of a system whose core has these members.
-    pub(crate) fn formed(members: Vec<CoreMember>) -> Self {
+    pub(crate) fn initial(members: Vec<CoreMember>) -> Self {
         let stamp = Stamp { epoch: 0, index: 1 };
         let state = ControlState { index: stamp.index, ..ControlState::default() };
         Agreed { stamp, core: CoreMembership::new(members), state, ..Agreed::default() }
     }
 
-    /// The version that exactly this change led to, if it was accepted.
+    /// The version that resulted from exactly this change, if it was accepted and is remembered.
     pub(crate) fn version_of(&self, request: RequestId) -> Option<u64> {
         self.changes.iter().rev().find(|change| change.request == request).map(|change| change.version)
     }
 
-    /// Whether a change on top of this version may have been accepted and be remembered no longer. Of all changes on top
-    /// of one version at most one is ever accepted, and versions rise: it led to a version above its base, and that is
-    /// among the forgotten ones only if the base is below the newest of these.
+    /// Whether a change on top of this version may have been accepted and is no longer remembered. At most one change
+    /// on top of a version is ever accepted, and versions rise: an accepted change results in a version above its
+    /// base, so it can be forgotten only if its base is below the newest forgotten version.
     pub(crate) fn may_have_forgotten(&self, if_match: u64) -> bool {
         if_match < self.forgotten
     }
 
-    /// The state after an entry.
+    /// The state that results from an entry.
     pub(crate) fn apply(&self, entry: &Entry) -> Result<Agreed, ControlError> {
         if entry.previous != self.stamp || entry.stamp.index != self.stamp.index + 1 {
             return Err(ControlError::OutOfOrder { have: self.stamp, wanted: entry.previous });
@@ -108,30 +109,30 @@
                 next.state.homes = Arc::new(homes.into_iter().cloned().collect());
             }
             Command::Configure { request, version, digest, change } => {
-                let live = self.changed(change)?;
+                let live = self.config_after(change)?;
                 let text = live.text().clone();
                 if hash(&text, 0) != *digest {
                     return Err(ControlError::WrongDigest { index: entry.stamp.index });
                 }
                 next.state.config = Arc::new(ConfigDocument { version: *version, text });
                 next.live = Live(OnceLock::from(live));
-                next.remember(AcceptedChange { request: *request, version: *version });
+                next.remember_change(AcceptedChange { request: *request, version: *version });
             }
         }
         Ok(next)
     }
 
-    fn remember(&mut self, change: AcceptedChange) {
+    fn remember_change(&mut self, change: AcceptedChange) {
         let changes = Arc::make_mut(&mut self.changes);
         changes.push_back(change);
-        if changes.len() > REMEMBERED_CHANGES
+        if changes.len() > MAX_REMEMBERED_CHANGES
             && let Some(oldest) = changes.pop_front()
         {
             self.forgotten = oldest.version;
         }
     }
 
-    /// The configuration in a form that changes apply to.
+    /// The parsed configuration, to which changes are applied.
     pub(crate) fn live(&self) -> Result<Arc<LiveConfig>, ControlError> {
         if let Some(live) = self.live.0.get() {
             return Ok(live.clone());
@@ -142,8 +143,8 @@
         Ok(self.live.0.get_or_init(|| live).clone())
     }
 
-    /// The configuration after a change.
-    fn changed(&self, change: &Change) -> Result<Arc<LiveConfig>, ControlError> {
+    /// The configuration that results from a change.
+    fn config_after(&self, change: &Change) -> Result<Arc<LiveConfig>, ControlError> {
         let live = match change {
             Change::Whole(text) => LiveConfig::read(text.clone()).map_err(|error| vec![error]),
             Change::Patch(patch) => self.live()?.patched(patch),
--- a/crates/control/src/backup.rs
+++ b/crates/control/src/backup.rs
@@ -1,5 +1,5 @@
-//! A way back when half of the core's disks or more are gone: the state that one log holds, taken out of it, and a log
-//! made of it in which one member alone is the core.
+//! Disaster recovery after half of the core's disks or more are lost: extracts the state that one log holds, and makes
+//! a log from it in which a single member is the whole core.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -13,26 +13,26 @@
 use crate::entry::{CoreMember, Stamp};
 use crate::storage::{Promised, Snapshot, encode, recover};
 
-/// A forced epoch, its index and its placement lie so far above all that was seen that nothing the lost members may
-/// have promised, agreed or placed reaches them.
-const FENCE: u64 = 1 << 20;
+/// Added to the epoch, the index and the placement epoch of a forced state, so that they exceed everything that the
+/// lost members may have promised, agreed on or placed.
+const FORCED_OFFSET: u64 = 1 << 20;
 
-/// The first bytes of a backup.
+/// The first bytes of a backup file.
 const MAGIC: &[u8; 4] = b"PWSB";
 const DIGEST_BYTES: usize = 8;
 
-/// What a control log holds.
+/// The state extracted from a control log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateBackup {
     /// The highest epoch that the member promised.
     promised: u64,
     committed: Agreed,
-    /// A later state that was accepted. It may have been agreed on.
+    /// A later state that was accepted. It may have been committed.
     accepted: Option<Agreed>,
 }
 
 impl StateBackup {
-    /// Takes the state out of a log. None where the log holds none.
+    /// Extracts the state from a log. None if the log holds no state.
     pub fn of_log(snapshot: Option<&[u8]>, records: &[Bytes]) -> Result<Option<Self>, ControlError> {
         let recovered = recover(snapshot, records)?;
         let is_later = recovered.accepted.stamp > recovered.committed.stamp;
@@ -44,7 +44,7 @@
         Ok((!backup.newest().core.is_empty()).then_some(backup))
     }
 
-    /// The bytes of a file.
+    /// Encodes the backup as the bytes of a file.
     pub fn encode(&self) -> Bytes {
         let state = encode(self);
         let mut bytes = MAGIC.to_vec();
@@ -53,7 +53,7 @@
         bytes.into()
     }
 
-    /// Reads what [`StateBackup::encode`] wrote. None where the bytes are no backup, or not a whole one.
+    /// Decodes the output of [`StateBackup::encode`]. None if the bytes are not a complete backup.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (digest, state) = bytes.strip_prefix(MAGIC)?.split_at_checked(DIGEST_BYTES)?;
         if hash(state, 0).to_le_bytes() != digest {
@@ -62,26 +62,26 @@
         frame::decode(state).ok()
     }
 
-    /// The state to go on from: the one that was accepted last, as an election would take.
+    /// The state to restore: the last accepted one, which an election would choose as well.
     pub fn newest(&self) -> &Agreed {
         self.accepted.as_ref().unwrap_or(&self.committed)
     }
 
-    /// The newest state that this member knew to be agreed on.
+    /// The newest state that this member knew to be committed.
     pub fn committed(&self) -> &Agreed {
         &self.committed
     }
 
-    /// The snapshot of a log in which a member alone is the core, and the state in it.
+    /// Makes the snapshot of a log in which a single member is the whole core, and returns it with the state in it.
     pub fn restored(&self, member: CoreMember) -> (Bytes, Agreed) {
         let newest = self.newest();
-        let epoch = self.promised.max(newest.stamp.epoch) + FENCE;
-        let stamp = Stamp { epoch, index: newest.stamp.index + FENCE };
+        let epoch = self.promised.max(newest.stamp.epoch) + FORCED_OFFSET;
+        let stamp = Stamp { epoch, index: newest.stamp.index + FORCED_OFFSET };
         let mut agreed = newest.clone();
         agreed.forced.push(ForcedEpoch { stamp, from: newest.stamp });
         agreed.stamp = stamp;
         agreed.state.index = stamp.index;
-        agreed.state.placement = fenced(&newest.state.placement).into();
+        agreed.state.placement = with_forced_epoch(&newest.state.placement).into();
         agreed.core = CoreMembership::new(vec![member]);
         agreed.last_leader = None;
         let promised = Promised { epoch, ..Promised::default() };
@@ -90,10 +90,10 @@
     }
 }
 
-fn fenced(placement: &Placement) -> Placement {
+fn with_forced_epoch(placement: &Placement) -> Placement {
     let mut placement = placement.clone();
     if !placement.sets.is_empty() {
-        placement.epoch.0 += FENCE;
+        placement.epoch.0 += FORCED_OFFSET;
     }
     placement
 }
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/calls.rs
@@ -1,4 +1,4 @@
-//! What a leader does with calls: checks them, in the order in which they came, against the newest state.
+//! How a leader processes calls: it checks them, in the order of their arrival, against the newest state.
 
 use std::sync::Arc;
 
@@ -13,46 +13,46 @@
 use crate::message::ControlMessage;
 use crate::operator::{CallId, OperatorRequest, Outcome};
 
-/// Calls that may wait at a leader.
-const MOST_QUEUED: usize = 64;
+/// The maximum number of calls that wait at a leader.
+const MAX_QUEUED_CALLS: usize = 64;
 
-/// Who waits for an answer.
+/// A call that waits for an answer, and the node that made it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Asker {
+pub(crate) struct PendingCall {
     pub node: NodeName,
     pub call: CallId,
 }
 
 /// A call that may change the state.
 #[derive(Clone)]
-pub(crate) struct Order {
+pub(crate) struct QueuedCall {
     request: OperatorRequest,
-    /// What tells a change from others.
+    /// The identifier of a configuration change, for deduplication.
     id: Option<RequestId>,
-    askers: Vec<Asker>,
+    pending_calls: Vec<PendingCall>,
 }
 
-/// What is answered once the leadership is confirmed.
+/// An answer that is given only once the leadership is confirmed.
 #[derive(Clone)]
-enum Question {
+enum ReadKind {
     Config,
     Index,
-    /// The newest index, for one that can wait for the next heartbeat.
+    /// The newest index, for a caller that can wait for the next heartbeat.
     Lease,
     Retire(NodeName),
-    /// A refusal: a leader that was replaced may not know that it is wrong.
-    Refusal(Outcome),
+    /// A rejection, which must be confirmed as well: a leader that was replaced without knowing it may reject wrongly.
+    Rejection(Outcome),
 }
 
-/// A question that waits for a round of heartbeats.
+/// A read that waits for a round of heartbeats.
 #[derive(Clone)]
-pub(crate) struct Read {
+pub(crate) struct PendingRead {
     round: u64,
-    asker: Asker,
-    question: Question,
+    pending_call: PendingCall,
+    question: ReadKind,
 }
 
-/// What follows from a call.
+/// The leader's decision on a call.
 pub(crate) enum Decision {
     Answer(Outcome),
     Refuse(Outcome),
@@ -60,43 +60,43 @@
 }
 
 impl Control {
-    /// A call arrived from the relay that took it.
-    pub(crate) fn order(&mut self, from: &NodeName, call: CallId, request: OperatorRequest) {
-        let asker = Asker { node: from.clone(), call };
+    /// Handles a call from the process that took it.
+    pub(crate) fn receive_call(&mut self, from: &NodeName, call: CallId, request: OperatorRequest) {
+        let pending_call = PendingCall { node: from.clone(), call };
         let Role::Leader(leader) = &mut self.role else {
             let leader = self.leader_hint.clone();
             return self.send(from.clone(), ControlMessage::NotLeader { call, leader });
         };
         match request {
-            OperatorRequest::ReadConfig => self.ask(asker, Question::Config),
-            OperatorRequest::ReadIndex => self.ask(asker, Question::Index),
-            OperatorRequest::RenewLease => self.ask(asker, Question::Lease),
-            OperatorRequest::ReadRetire { node } => self.ask(asker, Question::Retire(node)),
+            OperatorRequest::ReadConfig => self.queue_read(pending_call, ReadKind::Config),
+            OperatorRequest::ReadIndex => self.queue_read(pending_call, ReadKind::Index),
+            OperatorRequest::RenewLease => self.queue_read(pending_call, ReadKind::Lease),
+            OperatorRequest::ReadRetire { node } => self.queue_read(pending_call, ReadKind::Retire(node)),
             request => {
                 let id = match &request {
                     OperatorRequest::Configure { if_match, change } => Some(RequestId::of(*if_match, change)),
                     _ => None,
                 };
-                if leader.attach(id, &asker) {
+                if leader.join_identical_change(id, &pending_call) {
                     return;
                 }
-                if leader.queue.len() >= MOST_QUEUED {
-                    return self.answer(asker, Outcome::Unknown);
+                if leader.queue.len() >= MAX_QUEUED_CALLS {
+                    return self.answer_call(pending_call, Outcome::Unknown);
                 }
-                leader.queue.push_back(Order { request, id, askers: vec![asker] });
-                self.next_order();
+                leader.queue.push_back(QueuedCall { request, id, pending_calls: vec![pending_call] });
+                self.propose_next();
             }
         }
     }
 
-    fn ask(&mut self, asker: Asker, question: Question) {
+    fn queue_read(&mut self, pending_call: PendingCall, question: ReadKind) {
         let Role::Leader(leader) = &mut self.role else { return };
         let round = leader.round + 1;
-        leader.reads.push(Read { round, asker, question });
+        leader.reads.push(PendingRead { round, pending_call, question });
         self.start_round_for_reads();
     }
 
-    pub(crate) fn work_off(&mut self, order: Order) {
+    pub(crate) fn process_order(&mut self, order: QueuedCall) {
         let decision = match &order.request {
             OperatorRequest::Configure { if_match, change } => {
                 self.decide_change(order.id, *if_match, change)
@@ -105,15 +105,15 @@
             _ => Decision::Answer(Outcome::Unknown),
         };
         match decision {
-            Decision::Propose(command, request) => self.propose(command, request, order.askers),
+            Decision::Propose(command, request) => self.propose(command, request, order.pending_calls),
             Decision::Answer(outcome) => {
-                for asker in order.askers {
-                    self.answer(asker, outcome.clone());
+                for pending_call in order.pending_calls {
+                    self.answer_call(pending_call, outcome.clone());
                 }
             }
             Decision::Refuse(outcome) => {
-                for asker in order.askers {
-                    self.ask(asker, Question::Refusal(outcome.clone()));
+                for pending_call in order.pending_calls {
+                    self.queue_read(pending_call, ReadKind::Rejection(outcome.clone()));
                 }
             }
         }
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The schema is compiled where it is first needed: most processes never lead.
+    /// Returns the checker. The schema is compiled when it is first needed, since most processes never lead.
     fn checker(&mut self) -> Result<Arc<Checker>, Vec<ConfigError>> {
         if self.checker.is_none() {
             let unusable = |error: pewterseam_config::SchemaError| {
@@ -169,12 +169,12 @@
             Some((_, version)) => Outcome::Accepted { version },
             None => Outcome::Retiring,
         };
-        for asker in &in_flight.askers {
-            self.answer(asker.clone(), outcome.clone());
+        for pending_call in &in_flight.pending_calls {
+            self.answer_call(pending_call.clone(), outcome.clone());
         }
     }
 
-    /// Answers what waited for rounds that are confirmed by now.
+    /// Answers the reads whose rounds are confirmed.
     pub(crate) fn answer_reads(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         if leader.reads.is_empty() {
@@ -182,65 +182,68 @@
         }
         let is_serving = leader.is_serving;
         let confirmed = leader.confirmed_round(&self.replica.accepted);
-        let (ready, waiting): (Vec<Read>, Vec<Read>) = std::mem::take(&mut leader.reads)
+        let (ready, waiting): (Vec<PendingRead>, Vec<PendingRead>) = std::mem::take(&mut leader.reads)
             .into_iter()
             .partition(|read| is_serving && read.round <= confirmed);
         leader.reads = waiting;
         for read in ready {
             let state = &self.replica.committed.state;
             let outcome = match read.question {
-                Question::Config => Outcome::Config(state.config.clone()),
-                Question::Index | Question::Lease => Outcome::Index(state.index),
-                Question::Retire(node) => self.retire_state(&node),
-                Question::Refusal(outcome) => outcome,
+                ReadKind::Config => Outcome::Config(state.config.clone()),
+                ReadKind::Index | ReadKind::Lease => Outcome::Index(state.index),
+                ReadKind::Retire(node) => self.retire_state(&node),
+                ReadKind::Rejection(outcome) => outcome,
             };
-            self.answer(read.asker, outcome);
+            self.answer_call(read.pending_call, outcome);
         }
         self.start_round_for_reads();
     }
 
-    /// Questions that came while a round was under way share the next one.
+    /// Starts the next round once the present one is confirmed. Reads that arrived during the present round share the
+    /// next one.
     fn start_round_for_reads(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let is_round_done = leader.confirmed_round(&self.replica.accepted) >= leader.round;
-        let is_due = |read: &Read| read.round > leader.round && !matches!(read.question, Question::Lease);
+        let is_due =
+            |read: &PendingRead| read.round > leader.round && !matches!(read.question, ReadKind::Lease);
         if is_round_done && leader.reads.iter().any(is_due) {
             self.start_round();
         }
     }
 
-    fn answer(&mut self, asker: Asker, outcome: Outcome) {
-        self.send(asker.node, ControlMessage::OperatorAnswer { call: asker.call, outcome });
+    fn answer_call(&mut self, pending_call: PendingCall, outcome: Outcome) {
+        self.send(pending_call.node, ControlMessage::OperatorAnswer { call: pending_call.call, outcome });
     }
 
-    /// This process leads no longer: the relays ask the next leader, which knows what became of the changes.
-    pub(crate) fn abandon_orders(&mut self, leader: Leader) {
-        let in_flight = leader.in_flight.into_iter().flat_map(|in_flight| in_flight.askers);
-        let queued = leader.queue.into_iter().flat_map(|order| order.askers);
-        let reads = leader.reads.into_iter().map(|read| read.asker);
-        let askers: Vec<Asker> = in_flight.chain(queued).chain(reads).collect();
-        for asker in askers {
-            self.send(asker.node, ControlMessage::NotLeader { call: asker.call, leader: None });
+    /// Tells the callers that this process leads no longer. They ask the next leader, which knows the outcome of the
+    /// changes.
+    pub(crate) fn redirect_callers(&mut self, leader: Leader) {
+        let in_flight = leader.in_flight.into_iter().flat_map(|in_flight| in_flight.pending_calls);
+        let queued = leader.queue.into_iter().flat_map(|order| order.pending_calls);
+        let reads = leader.reads.into_iter().map(|read| read.pending_call);
+        let pending_calls: Vec<PendingCall> = in_flight.chain(queued).chain(reads).collect();
+        for pending_call in pending_calls {
+            self.send(pending_call.node, ControlMessage::NotLeader { call: pending_call.call, leader: None });
         }
     }
 }
 
 impl Leader {
-    /// Adds an asker to a change that is waiting or on its way already.
-    fn attach(&mut self, id: Option<RequestId>, asker: &Asker) -> bool {
+    /// Adds a caller to an identical change that is queued or in flight. Returns whether there is one.
+    fn join_identical_change(&mut self, id: Option<RequestId>, pending_call: &PendingCall) -> bool {
         if id.is_none() {
             return false;
         }
         let in_flight =
-            self.in_flight.as_mut().filter(|flying| flying.request.map(|(request, _)| request) == id);
+            self.in_flight.as_mut().filter(|in_flight| in_flight.request.map(|(request, _)| request) == id);
         let queued = self.queue.iter_mut().find(|order| order.id == id);
-        let askers = match (in_flight, queued) {
-            (Some(in_flight), _) => &mut in_flight.askers,
-            (None, Some(order)) => &mut order.askers,
+        let pending_calls = match (in_flight, queued) {
+            (Some(in_flight), _) => &mut in_flight.pending_calls,
+            (None, Some(order)) => &mut order.pending_calls,
             (None, None) => return false,
         };
-        if !askers.contains(asker) {
-            askers.push(asker.clone());
+        if !pending_calls.contains(pending_call) {
+            pending_calls.push(pending_call.clone());
         }
         true
     }
--- a/crates/control/src/catch_up.rs
+++ b/crates/control/src/catch_up.rs
@@ -1,4 +1,4 @@
-//! How committed states reach processes that lack them: entry by entry, or as a whole state in pieces.
+//! How committed states reach processes that lack them: as single entries, or as a complete state in pieces.
 
 use pewterseam_wire::Micros;
 use pewterseam_wire::identity::NodeName;
@@ -9,51 +9,55 @@
 use crate::message::ControlMessage;
 use crate::transfer::{IncomingState, OutgoingStates, StateKind, StateName, StatePiece};
 
-/// An unanswered fetch is repeated elsewhere after this, and each further one after twice as long.
+/// An unanswered fetch is sent to another process after this time; the timeout then doubles with each further fetch.
 const FETCH_TIMEOUT: Micros = 400_000;
 
-/// The longest of these pauses.
-const LONGEST_TIMEOUT: Micros = 3_200_000;
+/// The upper bound of the fetch timeout.
+const MAX_FETCH_TIMEOUT: Micros = 3_200_000;
 
-/// The next entry is asked for after this: it may be on its way here, and word of it travels faster than a large one.
-const PUSH_TIME: Micros = 150_000;
+/// A process requests the next entry only after this time: the entry may already be on its way, and news of its index
+/// travels faster than a large entry.
+const PUSH_TIMEOUT: Micros = 150_000;
 
-/// Bytes of an announced entry that are given a millisecond: it passes over several links, one after the other.
+/// An announced entry gets one more millisecond to arrive for each this many bytes: it passes over several links, one
+/// after the other.
 const BYTES_PER_MILLISECOND: u64 = 320;
 
 const MILLISECOND: Micros = 1_000;
 
-/// The pause before another process is asked where one knows no more; twice as long with each that brings nothing.
-const NEXT_PAUSE: Micros = 10_000;
-const MOST_DOUBLINGS: u32 = 8;
+/// The delay before another process is asked when one knows nothing newer; it doubles with each request without a
+/// result.
+const EMPTY_ANSWER_PAUSE: Micros = 10_000;
+const MAX_DOUBLINGS: u32 = 8;
 
-/// After so many holders without the state, or silences, a transfer begins anew.
-const MOST_FAILURES: u32 = 6;
+/// After this many requests in a row without a result (a holder lacks the state, or does not answer), a transfer
+/// starts again from the beginning.
+const MAX_FAILURES: u32 = 6;
 
-/// A long entry that is on its way.
+/// A large entry that was announced and is on its way.
 #[derive(Clone, Copy)]
 struct AnnouncedEntry {
     index: u64,
-    /// It is asked for after this.
+    /// The entry is requested after this time.
     arrives_by: Micros,
 }
 
-/// What this process knows it lacks.
+/// What this process is known to lack, and the requests for it.
 #[derive(Clone)]
 pub(crate) struct CatchUp {
-    /// The highest index that was heard of, and who has it.
-    newest: u64,
+    /// The highest index known to exist, and a process that has it.
+    newest_index: u64,
     holder: Option<NodeName>,
     announced: Option<AnnouncedEntry>,
     fetch_at: Option<Micros>,
-    /// When the last request went out, or something new came after it.
-    silent_since: Micros,
+    /// When the last request was sent, or something new arrived after it.
+    last_progress_at: Micros,
     turn: usize,
     incoming: Option<IncomingState>,
-    /// Who sent the last piece.
+    /// The sender of the last piece.
     source: Option<NodeName>,
     timeout: Micros,
-    /// Requests in a row that brought nothing.
+    /// The number of requests in a row without a result.
     failures: u32,
     pub outgoing: OutgoingStates,
 }
@@ -61,11 +65,11 @@
 impl Default for CatchUp {
     fn default() -> Self {
         CatchUp {
-            newest: 0,
+            newest_index: 0,
             holder: None,
             announced: None,
             fetch_at: None,
-            silent_since: 0,
+            last_progress_at: 0,
             turn: 0,
             incoming: None,
             source: None,
@@ -81,71 +85,74 @@
         self.fetch_at.unwrap_or(Micros::MAX)
     }
 
-    /// Whether a whole state is on its way here.
+    /// Whether a transfer of a complete state to this process is under way.
     pub(crate) fn is_receiving(&self) -> bool {
         self.incoming.is_some()
     }
 
-    /// Something new came.
-    fn progress(&mut self, now: Micros) {
+    /// Notes that something new arrived.
+    fn note_progress(&mut self, now: Micros) {
         self.timeout = FETCH_TIMEOUT;
         self.failures = 0;
-        self.silent_since = now;
+        self.last_progress_at = now;
         self.fetch_at = Some(now + self.timeout);
     }
 
-    /// Contact was lost and is back: what was asked for in vain is asked for at once. A request is in vain after the
-    /// first timeout; until then its answer may be on its way, and a repeat would cost the link the same again.
-    pub(crate) fn contact_is_back(&mut self, now: Micros) {
+    /// Handles restored contact: a request that went unanswered while contact was lost is repeated at once. A request
+    /// counts as unanswered after the first timeout; until then its answer may be on its way, and a repeated request
+    /// would load the link with the same data again.
+    pub(crate) fn contact_restored(&mut self, now: Micros) {
         self.timeout = FETCH_TIMEOUT;
-        let in_vain_at = self.silent_since + FETCH_TIMEOUT;
-        self.fetch_at = self.fetch_at.map(|at| at.min(in_vain_at.max(now)));
+        let timed_out_at = self.last_progress_at + FETCH_TIMEOUT;
+        self.fetch_at = self.fetch_at.map(|at| at.min(timed_out_at.max(now)));
     }
 
-    /// A request went out.
-    fn requested(&mut self, now: Micros) {
-        self.silent_since = now;
+    /// Notes that a request was sent.
+    fn request_sent(&mut self, now: Micros) {
+        self.last_progress_at = now;
         self.fetch_at = Some(now + self.timeout);
-        self.timeout = (self.timeout * 2).min(LONGEST_TIMEOUT);
+        self.timeout = (self.timeout * 2).min(MAX_FETCH_TIMEOUT);
     }
 }
 
 impl Control {
-    /// A node knows a state with this index.
-    pub(crate) fn heard_of_index(&mut self, index: u64, holder: NodeName) {
+    /// Notes that a node knows the state with this index.
+    pub(crate) fn note_known_index(&mut self, index: u64, holder: NodeName) {
         if index <= self.replica.committed.stamp.index || holder == self.name {
             return;
         }
-        // The last one that told of it: many that lack the same entry ask different processes.
-        if index >= self.catch_up.newest || self.catch_up.holder.is_none() {
-            self.catch_up.newest = self.catch_up.newest.max(index);
+        // The latest reporter is kept, so that many processes that lack the same entry ask different ones.
+        if index >= self.catch_up.newest_index || self.catch_up.holder.is_none() {
+            self.catch_up.newest_index = self.catch_up.newest_index.max(index);
             self.catch_up.holder = Some(holder);
         }
         if self.catch_up.fetch_at.is_none() {
-            self.catch_up.fetch_at = Some(self.arrival_of(index));
+            self.catch_up.fetch_at = Some(self.expected_arrival(index));
         }
     }
 
-    /// When an entry that others know should have arrived here without being asked for.
-    fn arrival_of(&self, index: u64) -> Micros {
+    /// When an entry that others know should have arrived here without a request.
+    fn expected_arrival(&self, index: u64) -> Micros {
         let known = self.replica.committed.stamp.index;
         let announced = self.catch_up.announced.filter(|announced| announced.index > known);
         let arrives = announced.map_or(self.now, |announced| announced.arrives_by);
         let is_next = index == known + 1;
-        if is_next { arrives.max(self.now + PUSH_TIME) } else { arrives.max(self.now) }
+        if is_next { arrives.max(self.now + PUSH_TIMEOUT) } else { arrives.max(self.now) }
     }
 
-    /// A leader passes a long entry on: it is given time to arrive before it is asked for.
+    /// Handles a leader's announcement of a large entry: the entry gets time to arrive before it is requested.
     pub(crate) fn announced(&mut self, index: u64, bytes: u64) {
-        let longer = bytes / BYTES_PER_MILLISECOND * MILLISECOND;
-        let arrives_by = self.now + PUSH_TIME + longer;
+        let transfer_time = bytes / BYTES_PER_MILLISECOND * MILLISECOND;
+        let arrives_by = self.now + PUSH_TIMEOUT + transfer_time;
         self.catch_up.announced = Some(AnnouncedEntry { index, arrives_by });
     }
 
     pub(crate) fn run_catch_up(&mut self) {
         let Some(at) = self.catch_up.fetch_at else { return };
-        self.drop_old_transfer();
-        if self.catch_up.incoming.is_none() && self.catch_up.newest <= self.replica.committed.stamp.index {
+        self.drop_obsolete_transfer();
+        if self.catch_up.incoming.is_none()
+            && self.catch_up.newest_index <= self.replica.committed.stamp.index
+        {
             self.catch_up.fetch_at = None;
             self.catch_up.holder = None;
             self.catch_up.timeout = FETCH_TIMEOUT;
@@ -156,7 +163,7 @@
         }
         self.catch_up.failures += 1;
         let holder = self.next_holder();
-        self.catch_up.requested(self.now);
+        self.catch_up.request_sent(self.now);
         let Some(holder) = holder else { return };
         if self.catch_up.incoming.is_some() {
             return self.ask_for_pieces(holder);
@@ -165,34 +172,34 @@
         self.send(holder, ControlMessage::Fetch { have });
     }
 
-    /// A transfer of what is known by now, or that nobody can go on with, ends.
-    fn drop_old_transfer(&mut self) {
+    /// Drops a transfer of a state that is known by now, or that no process can continue.
+    fn drop_obsolete_transfer(&mut self) {
         let Some(incoming) = &self.catch_up.incoming else { return };
         let known = match incoming.name.kind {
             StateKind::Committed => self.replica.committed.stamp,
             StateKind::Accepted => self.replica.accepted.stamp,
         };
-        if incoming.name.stamp <= known || self.catch_up.failures >= MOST_FAILURES {
+        if incoming.name.stamp <= known || self.catch_up.failures >= MAX_FAILURES {
             self.catch_up.incoming = None;
             self.catch_up.failures = 0;
         }
     }
 
-    /// Whom to ask: who sent the last piece, who told of something newer, or the leader; then, in turn, any process (when
-    /// many lack the same state, most others have it) and the core members.
+    /// The process to ask next: the sender of the last piece, a process that reported something newer, or the leader;
+    /// then, alternately, any process (when many lack the same state, most others have it) and a core member.
     fn next_holder(&mut self) -> Option<NodeName> {
-        let first = if self.catch_up.is_receiving() {
+        let preferred = if self.catch_up.is_receiving() {
             self.catch_up.source.clone()
         } else {
             self.catch_up.holder.take().or_else(|| self.leader_hint.clone())
         };
-        if first.is_some() && self.catch_up.failures % 2 == 1 {
-            return first;
+        if preferred.is_some() && self.catch_up.failures % 2 == 1 {
+            return preferred;
         }
         self.catch_up.turn += 1;
         let others = if self.catch_up.turn % 2 == 1 { self.live_others() } else { self.live_core() };
-        let place = self.random.below(others.len().max(1));
-        others.get(place).cloned()
+        let choice = self.random.below(others.len().max(1));
+        others.get(choice).cloned()
     }
 
     fn live_others(&self) -> Vec<NodeName> {
@@ -206,7 +213,8 @@
         self.send(holder, message);
     }
 
-    /// A process lacks what was committed after a state. It gets entries where they are no longer than the state.
+    /// Answers a request for everything that was committed after a state: with entries if they are no larger than the
+    /// complete state, otherwise with the first pieces of the state.
     pub(crate) fn fetch(&mut self, from: &NodeName, have: Stamp) {
         if have.index >= self.replica.committed.stamp.index {
             return self.send(from.clone(), ControlMessage::NothingNewer);
@@ -214,11 +222,11 @@
         if let Some(entries) = self.replica.entries_after(have) {
             return self.send(from.clone(), ControlMessage::Entries { entries });
         }
-        let kept = self.catch_up.outgoing.newest_committed(self.now);
+        let already_kept = self.catch_up.outgoing.newest_committed(self.now);
         let is_useful = |name: &StateName| {
             name.stamp.index > have.index && self.replica.entries_after(name.stamp).is_some()
         };
-        let name = kept.filter(is_useful).unwrap_or_else(|| {
+        let name = already_kept.filter(is_useful).unwrap_or_else(|| {
             let newest = &self.replica.committed;
             self.catch_up.outgoing.keep(StateKind::Committed, newest, self.now)
         });
@@ -231,8 +239,8 @@
         }
     }
 
-    /// Begins to hand out the state that was accepted here.
-    pub(crate) fn hand_out_accepted(&mut self, to: &NodeName) {
+    /// Sends the first pieces of the state that was accepted here.
+    pub(crate) fn send_accepted_state(&mut self, to: &NodeName) {
         let accepted = &self.replica.accepted;
         let name = self.catch_up.outgoing.keep(StateKind::Accepted, accepted, self.now);
         self.send_first_pieces(to, name);
@@ -256,17 +264,19 @@
         }
     }
 
-    /// A process that was asked knows no more than this one: another is asked soon.
+    /// Handles the answer of a process that knows nothing newer than this one: another process is asked soon.
     ///
-    /// Danger: where nobody that answers knows what was heard of, the questions must become fewer.
+    /// The delay doubles with each request without a result. Without this, processes would ask without pause for an
+    /// index that no answering process has.
     pub(crate) fn nothing_newer(&mut self) {
-        let pause = NEXT_PAUSE << self.catch_up.failures.min(MOST_DOUBLINGS);
+        let pause = EMPTY_ANSWER_PAUSE << self.catch_up.failures.min(MAX_DOUBLINGS);
         if let Some(at) = &mut self.catch_up.fetch_at {
             *at = (*at).min(self.now + pause);
         }
     }
 
-    /// A holder has gone on, or never had the state: another is asked soon.
+    /// Handles the answer of a process that no longer has the state, or never had it: another process is asked at
+    /// once.
     pub(crate) fn no_such_state(&mut self, state: StateName) {
         if self.catch_up.incoming.as_ref().is_some_and(|incoming| incoming.name == state) {
             self.catch_up.fetch_at = Some(self.now);
@@ -283,12 +293,12 @@
         }
         self.begin_transfer(piece.state);
         let Some(incoming) = &mut self.catch_up.incoming else { return };
-        if !incoming.take(piece) {
+        if !incoming.add_piece(piece) {
             return;
         }
         let (is_whole, is_idle) = (incoming.is_whole(), incoming.is_idle());
         self.catch_up.source = Some(from.clone());
-        self.catch_up.progress(self.now);
+        self.catch_up.note_progress(self.now);
         if is_whole {
             self.finish_transfer(from);
         } else if is_idle {
@@ -296,16 +306,17 @@
         }
     }
 
-    /// Begins a transfer, unless one is under way. What a member was asked to accept goes before what it may learn.
+    /// Begins a transfer, unless one is under way. A state that a member was asked to accept takes precedence over a
+    /// committed one.
     fn begin_transfer(&mut self, name: StateName) {
-        self.drop_old_transfer();
-        let goes_on = self.catch_up.incoming.as_ref().is_some_and(|incoming| {
+        self.drop_obsolete_transfer();
+        let continues = self.catch_up.incoming.as_ref().is_some_and(|incoming| {
             let is_newer_accepted =
                 name.kind == StateKind::Accepted && name.stamp.epoch > incoming.name.stamp.epoch;
             incoming.name == name || incoming.name.kind == name.kind && !is_newer_accepted
         });
-        let is_lesser = self.catch_up.incoming.is_some() && name.kind == StateKind::Committed;
-        if !goes_on && !is_lesser {
+        let has_lower_priority = self.catch_up.incoming.is_some() && name.kind == StateKind::Committed;
+        if !continues && !has_lower_priority {
             self.catch_up.incoming = IncomingState::new(name);
         }
     }
@@ -316,16 +327,16 @@
         let Some(agreed) = incoming.finish() else { return };
         match kind {
             StateKind::Committed => {
-                self.committed(agreed);
+                self.learn_committed(agreed);
                 self.fetch_next(from);
             }
             StateKind::Accepted => self.accepted_state(from, agreed),
         }
     }
 
-    /// More may follow: it is asked for at once where something came.
+    /// If newer states are known to exist, requests them at once from the process that just sent something.
     fn fetch_next(&mut self, from: &NodeName) {
-        if self.catch_up.newest > self.replica.committed.stamp.index {
+        if self.catch_up.newest_index > self.replica.committed.stamp.index {
             self.catch_up.holder.get_or_insert_with(|| from.clone());
             self.catch_up.fetch_at = Some(self.now);
         }
@@ -337,17 +348,17 @@
             if entry.stamp.index > self.replica.committed.stamp.index
                 && self.replica.learn(entry, &mut self.effects).is_err()
             {
-                // They do not fit: the next fetch goes to another node.
+                // The entries do not follow the committed state; the next fetch goes to another node.
                 return;
             }
         }
         if self.replica.committed.stamp.index > before {
-            self.catch_up.progress(self.now);
+            self.catch_up.note_progress(self.now);
             self.fetch_next(from);
         }
     }
 
-    fn committed(&mut self, agreed: Agreed) {
+    fn learn_committed(&mut self, agreed: Agreed) {
         if agreed.stamp.index > self.replica.committed.stamp.index {
             self.replica.learn_state(agreed, &mut self.effects);
         }
--- a/crates/control/src/core_members.rs
+++ b/crates/control/src/core_members.rs
@@ -1,8 +1,9 @@
-//! Which change of the core's members comes next: one at a time, and only where a majority stays.
+//! Chooses the next change of the core members: one change at a time, and only if a majority remains available.
 //!
 //! No change lowers the number of further losses that the core survives. A core with an odd number of members keeps a
-//! lost one until its successor has caught up as a learner; then one joint change puts the successor in its place. A
-//! core with an even number drops it at once: one member fewer, and a majority of one fewer.
+//! lost member until its successor has caught up as a learner; then one joint change swaps the two. A core with an
+//! even number of members drops a lost member at once: this leaves one member fewer, and a majority that is smaller by
+//! one.
 
 use pewterseam_wire::Micros;
 
@@ -11,61 +12,62 @@
 use crate::entry::{Command, CoreMember};
 use crate::machine::Control;
 
-/// A member that did not answer a heartbeat within this does not count as staying.
-const ANSWER_TIME: Micros = 200_000;
+/// A member that has not answered a heartbeat within this time does not count as available.
+const HEARTBEAT_ANSWER_TIMEOUT: Micros = 200_000;
 
-/// A learner that is at most so many entries behind is caught up: the history of any member covers them.
-const LEARNER_LAG: u64 = 16;
+/// A learner that is at most this many entries behind counts as caught up: the history of any member covers that many.
+const MAX_LEARNER_LAG: u64 = 16;
 
-/// A core is not made smaller than this for a lost member without a successor: with fewer, no loss is survived.
-const SMALLEST_ODD_CORE: usize = 3;
+/// A core is not shrunk below this size for a lost member without a successor: a smaller core survives no loss.
+const MIN_ODD_CORE: usize = 3;
 
-/// How a member was lost.
+/// The kind of a member's loss, from the most to the least certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Loss {
-    /// Its node is there with another disk, and will take its place.
-    Emptied,
-    /// It has been gone for very long.
+    /// The node is alive with another disk, and will take the member's place.
+    DiskReplaced,
+    /// The member has been gone for longer than `abandon_after`.
     Abandoned,
-    /// It is gone, and another member came for it.
+    /// The member is gone, and a node that appeared since can replace it.
     Replaced,
-    /// It has been gone for so long that another may stand in for it. It may come back.
+    /// The member has been gone for so long that another may replace it, but it may come back.
     Presumed,
 }
 
 impl Control {
-    /// The next change, if one is due. Nothing is in flight.
+    /// The next core change, if one is due. Must be called with nothing in flight.
     pub(crate) fn next_core_change(&self) -> Option<Command> {
         let core = &self.replica.committed.core;
         let next = match core.completed() {
             Some(completed) => completed,
             None => core.towards(self.next_core_members()?),
         };
-        self.majority_stays(&next).then_some(Command::Core { core: next })
+        self.keeps_majority(&next).then_some(Command::Core { core: next })
     }
 
-    /// The members that should follow the current ones, if they are others.
+    /// The members that should replace the current ones, if they differ.
     fn next_core_members(&self) -> Option<Vec<CoreMember>> {
         let members = self.replica.committed.core.current();
-        let mut joining = self.joining().into_iter();
+        let mut joining = self.joining_members().into_iter();
         let next = self.replace_lost(members, &mut joining);
         if next != members {
             return Some(next);
         }
-        let is_whole = members.iter().all(|member| self.peers.is_live_member(member) && self.follows(member));
-        let joining =
-            joining.find(|joining| is_whole && self.is_there_for(joining, self.settings.grow_after))?;
+        let is_complete =
+            members.iter().all(|member| self.peers.is_live_member(member) && self.is_in_step(member));
+        let joining = joining
+            .find(|joining| is_complete && self.has_been_live_for(joining, self.settings.grow_after))?;
         Some(members.iter().cloned().chain([joining]).collect())
     }
 
-    /// The members without lost ones, as far as that is no weaker than before.
+    /// The members without the lost ones, as far as the core gets no weaker by it.
     fn replace_lost(
         &self, members: &[CoreMember], joining: &mut impl Iterator<Item = CoreMember>,
     ) -> Vec<CoreMember> {
         let mut next = members.to_vec();
         for (loss, leaving) in self.lost_members(members) {
             let successor = if next.len().is_multiple_of(2) { None } else { joining.next() };
-            let is_needed = next.len() <= SMALLEST_ODD_CORE || matches!(loss, Loss::Emptied | Loss::Presumed);
+            let is_needed = next.len() <= MIN_ODD_CORE || matches!(loss, Loss::DiskReplaced | Loss::Presumed);
             if !next.len().is_multiple_of(2) && successor.is_none() && is_needed {
                 continue;
             }
@@ -75,7 +77,7 @@
         next
     }
 
-    /// Members that were lost, the surest losses first.
+    /// The lost members, the most certain losses first.
     fn lost_members(&self, members: &[CoreMember]) -> Vec<(Loss, CoreMember)> {
         let lost = |member: &CoreMember| Some((self.loss_of(member)?, member.clone()));
         let mut lost: Vec<(Loss, CoreMember)> = members.iter().filter_map(lost).collect();
@@ -85,57 +87,60 @@
 
     fn loss_of(&self, member: &CoreMember) -> Option<Loss> {
         if self.has_lost_disk(member) {
-            return Some(Loss::Emptied);
+            return Some(Loss::DiskReplaced);
         }
         let since = self.peers.gone_since(&member.name, member.disk, self.started)?;
-        let gone = self.now.saturating_sub(since);
-        if gone > self.settings.abandon_after {
+        let gone_for = self.now.saturating_sub(since);
+        if gone_for > self.settings.abandon_after {
             return Some(Loss::Abandoned);
         }
         let mut members = self.replica.committed.core.current().iter();
-        let has_successor = members.any(|other| self.peers.came_for(&other.name, since, self.started));
+        let has_successor =
+            members.any(|other| self.peers.can_replace_node_gone_since(&other.name, since, self.started));
         let loss = if has_successor { Loss::Replaced } else { Loss::Presumed };
-        (gone > self.settings.replace_member_after).then_some(loss)
+        (gone_for > self.settings.replace_member_after).then_some(loss)
     }
 
-    /// Its node has come back with another disk.
+    /// Whether the member's node is alive with another disk.
     fn has_lost_disk(&self, member: &CoreMember) -> bool {
         let peer = self.peers.get(&member.name).filter(|peer| peer.is_live);
         let disk = peer.and_then(|peer| peer.info.disk);
         disk.is_some_and(|disk| disk != member.disk)
     }
 
-    /// Nodes that are no members, have been there for a moment and know the committed state. One that came back with
-    /// another disk goes first: it has no other place.
-    fn joining(&self) -> Vec<CoreMember> {
+    /// Nodes that are not members, have been alive for the settling time and know the committed state. A member's node
+    /// that came back with another disk goes first, since it can only take its own place.
+    fn joining_members(&self) -> Vec<CoreMember> {
         let members = self.replica.committed.core.current();
         let candidates = self.peers.live().filter_map(|peer| peer.core_member());
         let is_joining = |member: &CoreMember| {
             !members.contains(member)
-                && self.is_there_for(member, self.settings.settle)
-                && self.follows(member)
+                && self.has_been_live_for(member, self.settings.settle)
+                && self.is_in_step(member)
         };
         let mut joining: Vec<CoreMember> = candidates.filter(is_joining).collect();
-        let has_place = |joining: &CoreMember| members.iter().any(|member| member.name == joining.name);
-        joining.sort_by_key(|member| !has_place(member));
+        let is_node_of_member =
+            |joining: &CoreMember| members.iter().any(|member| member.name == joining.name);
+        joining.sort_by_key(|member| !is_node_of_member(member));
         joining
     }
 
-    fn is_there_for(&self, member: &CoreMember, span: Micros) -> bool {
+    fn has_been_live_for(&self, member: &CoreMember, span: Micros) -> bool {
         self.peers.get(&member.name).is_some_and(|peer| peer.is_live && self.now >= peer.since + span)
     }
 
-    /// Whether it answers, and knows the committed state or lacks but little of it.
-    fn follows(&self, member: &CoreMember) -> bool {
+    /// Whether the member answers heartbeats and lacks at most a few entries of the committed state.
+    fn is_in_step(&self, member: &CoreMember) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
-        let index = self.replica.committed.stamp.index.saturating_sub(LEARNER_LAG);
-        leader.is_caught_up(member, index, self.now, self.settings.heartbeat + ANSWER_TIME)
+        let index = self.replica.committed.stamp.index.saturating_sub(MAX_LEARNER_LAG);
+        leader.is_caught_up(member, index, self.now, self.settings.heartbeat + HEARTBEAT_ANSWER_TIMEOUT)
     }
 
-    /// Whether a majority answers and knows the committed state, this process among it.
-    fn majority_stays(&self, next: &CoreMembership) -> bool {
-        let stays = |member: &&CoreMember| self.follows(member) && self.peers.is_live_member(member);
+    /// Whether a majority of the new membership, with this process as a member, answers and knows the committed state.
+    fn keeps_majority(&self, next: &CoreMembership) -> bool {
+        let is_available =
+            |member: &&CoreMember| self.is_in_step(member) && self.peers.is_live_member(member);
         let is_member = self.identity.as_ref().is_some_and(|own| next.current().contains(own));
-        is_member && next.is_majority(next.voters().filter(stays))
+        is_member && next.is_majority(next.voters().filter(is_available))
     }
 }
--- a/crates/control/src/core_membership.rs
+++ b/crates/control/src/core_membership.rs
@@ -1,4 +1,4 @@
-//! The members of the core, and what makes a majority of them.
+//! The members of the core and the majority rule.
 
 use std::sync::Arc;
 
@@ -6,24 +6,25 @@
 
 use crate::entry::CoreMember;
 
-/// The members of the core, by joint consensus: while one set follows another, each agreement needs a majority of both.
+/// The members of the core, changed by joint consensus: while one set replaces another, each decision needs a majority
+/// of both.
 ///
-/// All questions for a majority (commits, elections, heartbeats, reads) are asked of this type.
+/// All majority decisions (commits, elections, heartbeats, reads) use this type.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoreMembership {
     current: Arc<Vec<CoreMember>>,
-    /// The members before, until the current ones alone are committed.
+    /// The previous members, until a membership of the current ones alone is committed.
     outgoing: Option<Arc<Vec<CoreMember>>>,
 }
 
 impl CoreMembership {
-    /// These members alone.
+    /// A membership of exactly these members.
     pub fn new(members: Vec<CoreMember>) -> Self {
         CoreMembership { current: Arc::new(members), outgoing: None }
     }
 
-    /// The membership with which the way to these members begins. A single member that comes or goes needs no joint
-    /// membership: every majority before it meets every majority after it.
+    /// The first membership of a change to these members. Adding or removing a single member needs no joint
+    /// membership: every majority of the old members overlaps every majority of the new ones.
     pub fn towards(&self, members: Vec<CoreMember>) -> Self {
         let added = members.iter().filter(|member| !self.current.contains(member)).count();
         let removed = self.current.iter().filter(|member| !members.contains(member)).count();
@@ -31,7 +32,7 @@
         CoreMembership { current: Arc::new(members), outgoing }
     }
 
-    /// The membership after a joint one; none where this is not joint.
+    /// The membership that completes a joint one; none if this one is not joint.
     pub fn completed(&self) -> Option<Self> {
         self.outgoing.as_ref().map(|_| CoreMembership { current: self.current.clone(), outgoing: None })
     }
@@ -40,7 +41,7 @@
         &self.current
     }
 
-    /// The members before, while the membership is joint.
+    /// The previous members, while the membership is joint.
     pub fn outgoing(&self) -> Option<&[CoreMember]> {
         self.outgoing.as_ref().map(|members| members.as_slice())
     }
@@ -49,7 +50,7 @@
         self.current.is_empty()
     }
 
-    /// Everybody who may vote: the current members, then those of the outgoing ones that do not stay.
+    /// All members that may vote: the current ones, then the outgoing ones that do not stay.
     pub fn voters(&self) -> impl Iterator<Item = &CoreMember> {
         let leaving = self.outgoing().unwrap_or_default().iter();
         self.current.iter().chain(leaving.filter(|member| !self.current.contains(member)))
@@ -59,7 +60,8 @@
         self.voters().any(|voter| voter == member)
     }
 
-    /// Whether these are more than half of the current members, and of the outgoing ones.
+    /// Whether these members are more than half of the current members and, in a joint membership, more than half of
+    /// the outgoing ones.
     pub fn is_majority<'a>(&self, members: impl Iterator<Item = &'a CoreMember>) -> bool {
         let members: Vec<&CoreMember> = members.collect();
         self.sets().all(|set| {
@@ -68,7 +70,8 @@
         })
     }
 
-    /// The greatest value that more than half of the current members have reached, and of the outgoing ones.
+    /// The greatest value that more than half of the current members have reached and, in a joint membership, more
+    /// than half of the outgoing ones.
     pub fn majority_value(&self, value: impl Fn(&CoreMember) -> u64) -> u64 {
         let reached = |set: &[CoreMember]| {
             let mut values: Vec<u64> = set.iter().map(&value).collect();
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who leads, and on which state.
+//! Leader elections: which member leads, and from which state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,47 +11,47 @@
 use crate::machine::Control;
 use crate::message::ControlMessage;
 
-/// After a start, the first candidate waits this long.
-const FIRST_ELECTION: Micros = 150_000;
+/// The delay of the first candidate after a start.
+const FIRST_ELECTION_DELAY: Micros = 150_000;
 
-/// Random parts of the delays before elections.
-const JITTER: u64 = 150_000;
+/// The bound of the random part of election delays.
+const ELECTION_JITTER: u64 = 150_000;
 
-/// What a process does towards leading.
+/// The role of a process in an epoch.
 #[derive(Clone)]
 pub(crate) enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     Follower {
-        /// When a leader was last heard.
-        heard: Option<Micros>,
+        /// When a message of a leader was last received.
+        last_heard: Option<Micros>,
         elect_at: Micros,
     },
-    /// Asks whether an election would find promises.
+    /// Asks the members whether they would promise an epoch, before it disturbs a working leader.
     PreCandidate {
         epoch: u64,
         granted: BTreeSet<CoreMember>,
         deadline: Micros,
     },
-    /// Gathers promises.
+    /// Collects promises for its epoch.
     Candidate(Candidate),
     Leader(Box<Leader>),
 }
 
-/// An election under way.
+/// The state of a candidate.
 #[derive(Clone)]
 pub(crate) struct Candidate {
     epoch: u64,
     promises: BTreeMap<CoreMember, Stamp>,
-    /// Members that were asked.
+    /// The members that were asked for a promise.
     asked: BTreeSet<CoreMember>,
-    /// The member that the best state was asked of.
-    reading: Option<CoreMember>,
+    /// The member that was asked for the greatest state.
+    reading_from: Option<CoreMember>,
     deadline: Micros,
 }
 
 impl Role {
     pub(crate) fn follower(elect_at: Micros) -> Self {
-        Role::Follower { heard: None, elect_at }
+        Role::Follower { last_heard: None, elect_at }
     }
 
     pub(crate) fn next_wake(&self) -> Micros {
@@ -65,37 +65,40 @@
 }
 
 impl Control {
-    /// This process, if it is a member of the core.
+    /// The identity of this process, if it is a member of the core.
     pub(crate) fn own_member(&self) -> Option<&CoreMember> {
         self.identity.as_ref().filter(|own| self.replica.accepted.core.is_voter(own))
     }
 
-    /// How many members go before this one: first who led last, then by the hash of the name. The dead do not count.
+    /// The number of members that precede this one in the order of candidates: the previous leader first, then by the
+    /// hash of the name. Dead members do not count.
     fn election_rank(&self) -> u64 {
         let accepted = &self.replica.accepted;
-        let key = |name: &NodeName| (accepted.last_leader.as_ref() != Some(name), hash(name.0.as_bytes(), 0));
-        let own = key(&self.name);
-        let unseen_is_live = self.now < self.started + self.settings.leader_timeout;
-        let goes_before = |member: &&CoreMember| {
-            let seen = self.peers.get(&member.name).is_some();
-            key(&member.name) < own && (self.peers.is_live_member(member) || (unseen_is_live && !seen))
+        let order_key =
+            |name: &NodeName| (accepted.last_leader.as_ref() != Some(name), hash(name.0.as_bytes(), 0));
+        let own = order_key(&self.name);
+        let is_start_period = self.now < self.started + self.settings.leader_timeout;
+        let precedes = |member: &&CoreMember| {
+            let is_known = self.peers.get(&member.name).is_some();
+            order_key(&member.name) < own
+                && (self.peers.is_live_member(member) || (is_start_period && !is_known))
         };
-        accepted.core.voters().filter(goes_before).count() as u64
+        accepted.core.voters().filter(precedes).count() as u64
     }
 
     fn election_delay(&mut self, base: Micros) -> Micros {
-        let jitter = self.random.draw() % JITTER;
+        let jitter = self.random.draw() % ELECTION_JITTER;
         self.now + base + self.election_rank() * self.settings.candidate_step + jitter
     }
 
     pub(crate) fn schedule_election_at_start(&mut self) {
         if self.own_member().is_some() {
-            let elect_at = self.election_delay(FIRST_ELECTION);
+            let elect_at = self.election_delay(FIRST_ELECTION_DELAY);
             self.role = Role::follower(elect_at);
         }
     }
 
-    /// The node that led is gone: others need not wait for the timeout.
+    /// Handles the failure of a node: if it led, other members need not wait for the leader timeout.
     pub(crate) fn leader_may_be_gone(&mut self, name: &NodeName) {
         if self.leader_hint.as_ref() == Some(name) {
             self.leader_hint = None;
@@ -105,7 +108,7 @@
         }
     }
 
-    /// A leader of this epoch was heard.
+    /// Follows a leader of this epoch after a message from it.
     pub(crate) fn follow(&mut self, leader: &NodeName, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         if *leader == self.name {
@@ -115,10 +118,10 @@
         self.leader_hint = Some(leader.clone());
         let timeout = self.settings.leader_timeout;
         let elect_at = if self.own_member().is_some() { self.election_delay(timeout) } else { Micros::MAX };
-        self.role = Role::Follower { heard: Some(self.now), elect_at };
+        self.role = Role::Follower { last_heard: Some(self.now), elect_at };
     }
 
-    /// Leads no longer, or gives an election up.
+    /// Ends the leadership or candidacy of this process.
     pub(crate) fn step_down(&mut self) {
         let elect_at = if self.own_member().is_some() {
             let attempt = self.settings.attempt;
@@ -131,7 +134,7 @@
             if self.leader_hint.as_ref() == Some(&self.name) {
                 self.leader_hint = None;
             }
-            self.abandon_orders(*leader);
+            self.redirect_callers(*leader);
         }
     }
 
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Whether the disk of this process has stood still for so long that it is no good for leading.
+    /// Whether the disk of this process has stalled for too long for it to lead.
     pub(crate) fn is_disk_stalled(&self) -> bool {
         self.replica.is_disk_stalled(self.now, self.settings.disk_timeout)
     }
@@ -170,15 +173,15 @@
         }
     }
 
-    /// Whether a leader was heard so lately that there is no need for another.
+    /// Whether a leader is known to be working, so that no other is needed.
     fn has_leader(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => {
                 leader.has_majority(&self.replica.accepted, self.now, self.settings.leader_timeout)
             }
-            Role::Follower { heard: Some(heard), .. } => {
-                let fresh = self.now < heard + self.settings.leader_timeout * 2 / 3;
-                fresh && self.leader_hint.as_ref().is_some_and(|leader| self.peers.is_live(leader))
+            Role::Follower { last_heard: Some(last_heard), .. } => {
+                let is_recent = self.now < last_heard + self.settings.leader_timeout * 2 / 3;
+                is_recent && self.leader_hint.as_ref().is_some_and(|leader| self.peers.is_live(leader))
             }
             _ => false,
         }
@@ -186,8 +189,8 @@
 
     pub(crate) fn pre_vote(&mut self, from: &NodeName, epoch: u64) {
         let Some(member) = self.identity.clone() else { return };
-        let may_promise = self.replica.may_promise(epoch) && !self.is_disk_stalled();
-        let granted = *from == self.name || (!self.has_leader() && may_promise);
+        let can_promise = self.replica.can_promise(epoch) && !self.is_disk_stalled();
+        let granted = *from == self.name || (!self.has_leader() && can_promise);
         if !granted {
             self.send(from.clone(), ControlMessage::Refused { promised: self.replica.promised.epoch });
         }
@@ -210,20 +213,20 @@
             epoch,
             promises: BTreeMap::new(),
             asked: BTreeSet::new(),
-            reading: None,
+            reading_from: None,
             deadline: self.now + self.settings.attempt,
         });
         self.ask_for_promises();
     }
 
-    /// Asks the members of the state that is accepted here, as far as they were not asked.
+    /// Asks the members of the accepted state for promises, except those that were asked already.
     fn ask_for_promises(&mut self) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         let core = &self.replica.accepted.core;
-        let new: Vec<CoreMember> =
+        let unasked: Vec<CoreMember> =
             core.voters().filter(|member| candidate.asked.insert((*member).clone())).cloned().collect();
         let epoch = candidate.epoch;
-        for member in new {
+        for member in unasked {
             self.send(member.name, ControlMessage::Prepare { epoch });
         }
     }
@@ -231,7 +234,7 @@
     pub(crate) fn prepare(&mut self, from: &NodeName, epoch: u64) {
         let Some(member) = self.identity.clone() else { return };
         self.highest_epoch = self.highest_epoch.max(epoch);
-        if !self.replica.may_promise(epoch) {
+        if !self.replica.can_promise(epoch) {
             self.send(from.clone(), ControlMessage::Refused { promised: self.replica.promised.epoch });
             return;
         }
@@ -243,7 +246,8 @@
         self.replica.send_after_sync(from.clone(), ControlMessage::Promise { epoch, member, stamp });
     }
 
-    /// A member holds a higher epoch. What is under way here in a lower one is in vain.
+    /// Handles a rejection by a member that promised a higher epoch: an election or leadership in a lower epoch cannot
+    /// succeed any more.
     pub(crate) fn refused(&mut self, promised: u64) {
         self.highest_epoch = self.highest_epoch.max(promised);
         let epoch = match &self.role {
@@ -260,15 +264,16 @@
         let Role::Candidate(candidate) = &mut self.role else { return };
         if candidate.epoch == epoch {
             candidate.promises.insert(member, stamp);
-            self.review_promises();
+            self.evaluate_promises();
         }
     }
 
-    /// Adopts the greatest state among the promises of a majority, and leads once the members of that state agree.
+    /// Adopts the greatest state among the promises of a majority, and leads once a majority of the members of that
+    /// state has promised.
     ///
-    /// The candidate's own promise must be among them: it is synced by then, so a later life of this process knows that
-    /// the epoch is used, and whoever leads has a disk that works.
-    fn review_promises(&mut self) {
+    /// The candidate's own promise must be among them: it is synced by then, so this process knows after a restart
+    /// that the epoch is used, and the leader's disk is known to work.
+    fn evaluate_promises(&mut self) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         let own_is_synced = self.identity.as_ref().is_some_and(|own| candidate.promises.contains_key(own));
         if !own_is_synced || !self.replica.accepted.core.is_majority(candidate.promises.keys()) {
@@ -279,23 +284,23 @@
         let epoch = candidate.epoch;
         if stamp <= self.replica.accepted.stamp {
             self.lead(epoch);
-        } else if candidate.reading.as_ref() != Some(&holder) {
-            candidate.reading = Some(holder.clone());
+        } else if candidate.reading_from.as_ref() != Some(&holder) {
+            candidate.reading_from = Some(holder.clone());
             self.send(holder.name, ControlMessage::ReadAccepted { epoch });
         }
     }
 
     pub(crate) fn read_accepted(&mut self, from: &NodeName, epoch: u64) {
         if self.replica.promised.epoch == epoch {
-            self.hand_out_accepted(from);
+            self.send_accepted_state(from);
         }
     }
 
-    /// A greater state was adopted.
-    pub(crate) fn adopted_state(&mut self) {
-        // Its members may be others than those that were asked.
+    /// Continues the election after a greater state was adopted.
+    pub(crate) fn state_adopted(&mut self) {
+        // The members of the adopted state may differ from those that were asked.
         self.ask_for_promises();
-        self.review_promises();
+        self.evaluate_promises();
     }
 
     fn lead(&mut self, epoch: u64) {
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries: the commands that lead from one agreed state to the next.
+//! Log entries: the commands that lead from one agreed state to the next.
 
 use bytes::Bytes;
 use pewterseam_wire::identity::{DiskId, NodeName};
@@ -8,22 +8,23 @@
 
 use crate::core_membership::CoreMembership;
 
-/// The name of a state: the epoch of the leader that proposed it, and how many entries led to it.
+/// Identifies a state: the epoch of the leader that proposed it, and the number of entries that led to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
     pub epoch: u64,
     pub index: u64,
 }
 
-/// A member of the core: a node with its disk. One whose disk was lost is another member.
+/// A member of the core: a node together with its disk. A node whose disk was replaced is a different member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CoreMember {
     pub name: NodeName,
     pub disk: DiskId,
 }
 
-/// What tells one operator's change from another: the SHA-256 digest of its kind, its `If-Match` and its bytes. A change
-/// that is sent again unchanged has the same; the same bytes on top of another version are another change.
+/// Identifies an operator's change for deduplication: the SHA-256 digest of its kind, its `If-Match` version and its
+/// bytes. A change that is sent again unchanged has the same identifier; the same bytes on top of another version are
+/// a different change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub [u64; 4]);
 
@@ -64,19 +65,19 @@
 /// What an entry does.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// The first entry of a leader.
+    /// The first entry of a leader's epoch.
     Lead { leader: NodeName },
-    /// A change of the configuration. `digest` is that of the whole text that it leads to.
+    /// A change of the configuration. `digest` is the digest of the complete configuration text that results from it.
     Configure { request: RequestId, version: u64, digest: u64, change: Change },
-    /// The core's membership from now on.
+    /// Replaces the core membership.
     Core { core: CoreMembership },
-    /// Stores in force, and those that are emptied.
+    /// Replaces the placement, and the lists of stores that are being emptied (`retiring`) or have been (`retired`).
     Stores { placement: Placement, retiring: Vec<StoreId>, retired: Vec<StoreId> },
-    /// Relays that may hand out permits of limited services from now on, and those that may not any more.
+    /// Changes the list of relays that may grant permits of limited services.
     Homes { joining: Vec<NodeName>, leaving: Vec<NodeName> },
 }
 
-/// A step from one state to the next.
+/// A step from the previous state to the next one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub previous: Stamp,
@@ -84,7 +85,7 @@
     pub command: Command,
 }
 
-/// Bytes of an entry beside its change, for bounds on memory.
+/// Estimated bytes of an entry without its change, for memory limits.
 const ENTRY_BYTES: usize = 256;
 
 impl Entry {
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a member of the core does for its leader.
+//! What a core member does for its leader.
 
 use pewterseam_wire::identity::NodeName;
 
@@ -9,8 +9,9 @@
 use crate::message::ControlMessage;
 
 impl Control {
-    /// Whether a leader's message counts. One of an older epoch is refused.
-    fn is_leader_valid(&mut self, from: &NodeName, epoch: u64) -> bool {
+    /// Whether a message is from a leader of the promised epoch or a later one; follows that leader if so. A leader of
+    /// an older epoch is rejected.
+    fn accepts_leader(&mut self, from: &NodeName, epoch: u64) -> bool {
         let promised = self.replica.promised.epoch;
         if epoch < promised {
             self.send(from.clone(), ControlMessage::Refused { promised });
@@ -21,7 +22,7 @@
     }
 
     pub(crate) fn accept(&mut self, from: &NodeName, epoch: u64, entry: Entry, committed: Stamp) {
-        if self.identity.is_none() || entry.stamp.epoch != epoch || !self.is_leader_valid(from, epoch) {
+        if self.identity.is_none() || entry.stamp.epoch != epoch || !self.accepts_leader(from, epoch) {
             return;
         }
         self.replica.commit(committed, &mut self.effects);
@@ -30,35 +31,35 @@
             let agreed = self.replica.accepted.clone();
             self.replica.install(agreed, epoch, from, &mut self.effects);
         } else if self.replica.accept(entry, from, &mut self.effects).is_err() {
-            return self.lacks_base(from, epoch, entry_base, committed);
+            return self.request_missing_base(from, epoch, entry_base, committed);
         }
         self.answer_accept(from, epoch, stamp);
     }
 
-    /// The state before a leader's entry is not here. A committed one is fetched, and the entry comes again; another
-    /// one only the leader can hand out.
-    fn lacks_base(&mut self, from: &NodeName, epoch: u64, base: Stamp, committed: Stamp) {
+    /// Handles a leader's entry whose previous state is not known here. If that state is committed, it is fetched, and
+    /// the leader sends the entry again; a state that is not committed only the leader can send.
+    fn request_missing_base(&mut self, from: &NodeName, epoch: u64, base: Stamp, committed: Stamp) {
         if base == committed {
-            self.heard_of_index(committed.index, from.clone());
+            self.note_known_index(committed.index, from.clone());
         } else if !self.catch_up.is_receiving() {
             self.send(from.clone(), ControlMessage::NeedState { epoch });
         }
     }
 
-    /// A whole state that a leader, or the holder of a promise, has accepted has come.
+    /// Handles a complete state that arrived from a leader or from a member that promised.
     ///
-    /// It may be held whatever was promised since, as it is greater than what is held here and keeps its stamp. Only to
-    /// a leader whose epoch still counts is it acknowledged.
+    /// The state may be accepted whatever epoch was promised since, because it is greater than the state accepted here
+    /// and keeps its stamp. It is acknowledged only to a leader whose epoch is still valid.
     pub(crate) fn accepted_state(&mut self, from: &NodeName, agreed: Agreed) {
         let stamp = agreed.stamp;
         if self.identity.is_none() || stamp <= self.replica.accepted.stamp {
             return;
         }
-        let is_of_leader = stamp.epoch >= self.replica.promised.epoch;
+        let is_epoch_valid = stamp.epoch >= self.replica.promised.epoch;
         self.replica.adopt(agreed, &mut self.effects);
         if matches!(self.role, Role::Candidate(_)) {
-            self.adopted_state();
-        } else if is_of_leader {
+            self.state_adopted();
+        } else if is_epoch_valid {
             self.answer_accept(from, stamp.epoch, stamp);
         }
     }
@@ -69,11 +70,11 @@
     }
 
     pub(crate) fn heartbeat(&mut self, from: &NodeName, epoch: u64, round: u64, committed: Stamp) {
-        if !self.is_leader_valid(from, epoch) {
+        if !self.accepts_leader(from, epoch) {
             return;
         }
         if !self.replica.commit(committed, &mut self.effects) {
-            self.heard_of_index(committed.index, from.clone());
+            self.note_known_index(committed.index, from.clone());
         }
         let Some(member) = self.identity.clone() else { return };
         let committed = self.replica.committed.stamp.index;
--- a/crates/control/src/formation.rs
+++ b/crates/control/src/formation.rs
@@ -1,8 +1,8 @@
-//! The first start: the seeds agree on the members of the core.
+//! Bootstrap: the seeds agree on the first members of the core.
 //!
-//! Paxos with one decree among the seeds, each known by its peer address, in memory: a process that starts again is not
-//! in its first start and takes no part. Whoever is among the members that were decided on starts from the state that
-//! follows from the list, whether it is told by the seeds or by the first leader.
+//! The seeds run single-decree Paxos. Each seed is identified by its peer address and keeps its acceptor state in
+//! memory only: a process that restarts is no longer in its first start and takes no part. Every chosen member starts
+//! from the state that follows from the list, whether it learns the list from the seeds or from the first leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,27 +15,27 @@
 use crate::machine::Control;
 use crate::message::{ControlMessage, FormationMessage};
 
-/// The core must not have changed for this long before its list is proposed.
-const STABLE: Micros = 400_000;
+/// The set of possible core members must be unchanged for this long before it is proposed.
+const STABLE_PERIOD: Micros = 400_000;
 
-/// The list is proposed after so many formation delays even if it still changes.
-const PATIENCE: Micros = 2;
+/// After this many formation delays the list is proposed even if it still changes.
+const MAX_FORMATION_DELAYS: Micros = 2;
 
-/// The pause before the next ballot, and its random part.
-const RETRY: Micros = 300_000;
-const RETRY_JITTER: u64 = 400_000;
+/// The delay before the next ballot, and the bound of its random part.
+const BALLOT_RETRY_PAUSE: Micros = 300_000;
+const BALLOT_RETRY_JITTER: u64 = 400_000;
 
-/// Ballots of one seed are this far apart, so that no two seeds share one.
+/// Distance between the ballots of one seed, so that no two seeds share a ballot.
 const BALLOT_STEP: u64 = 16;
 
-/// How often the decision is told to members that do not show that they know it.
-const TELL_PERIOD: Micros = 300_000;
+/// How often the decision is sent again until a leader has started.
+const DECISION_PERIOD: Micros = 300_000;
 
-/// Acceptor and proposer of one seed.
+/// The Paxos acceptor and proposer of one seed.
 #[derive(Clone)]
 pub(crate) struct Formation {
     started_at: Micros,
-    next: Micros,
+    next_attempt_at: Micros,
     promised: u64,
     accepted: Option<(u64, Vec<CoreMember>)>,
     ballot: u64,
@@ -49,7 +49,7 @@
     pub(crate) fn new(first: Micros, random: u64) -> Self {
         Formation {
             started_at: first,
-            next: first + random % RETRY_JITTER / 4,
+            next_attempt_at: first + random % BALLOT_RETRY_JITTER / 4,
             promised: 0,
             accepted: None,
             ballot: 0,
@@ -61,7 +61,7 @@
     }
 
     pub(crate) fn next_wake(&self) -> Micros {
-        self.next
+        self.next_attempt_at
     }
 }
 
@@ -69,10 +69,10 @@
     /// The seeds that are alive, by name.
     fn live_seeds(&self) -> Vec<NodeName> {
         let seeds: BTreeSet<SocketAddr> = self.settings.seeds.iter().copied().collect();
-        seeds.into_iter().filter_map(|address| self.peers.at(address).cloned()).collect()
+        seeds.into_iter().filter_map(|address| self.peers.live_at_address(address).cloned()).collect()
     }
 
-    fn is_seed_majority(&self, count: usize) -> bool {
+    fn is_majority_of_seeds(&self, count: usize) -> bool {
         let seeds: BTreeSet<SocketAddr> = self.settings.seeds.iter().copied().collect();
         count * 2 > seeds.len()
     }
@@ -83,38 +83,40 @@
 
     pub(crate) fn run_formation(&mut self) {
         let Some(formation) = &mut self.formation else { return };
-        if formation.next > self.now {
+        if formation.next_attempt_at > self.now {
             return;
         }
         if let Some(members) = formation.decided.clone() {
-            formation.next = self.now + TELL_PERIOD;
-            return self.tell_formed(&members);
+            formation.next_attempt_at = self.now + DECISION_PERIOD;
+            return self.send_decision(&members);
         }
-        formation.next = self.now + RETRY + self.random.draw() % RETRY_JITTER;
+        formation.next_attempt_at = self.now + BALLOT_RETRY_PAUSE + self.random.draw() % BALLOT_RETRY_JITTER;
         if !self.replica.accepted.core.is_empty() {
-            // A leader's state came first: there is nothing left to form.
+            // A state from a leader arrived first, so the core is already formed.
             self.formation = None;
             return;
         }
-        let settled = self.now >= self.peers.core_changed + STABLE;
-        let patient = self.now >= formation.started_at + self.settings.formation_delay * PATIENCE;
-        if !settled && !patient {
-            formation.next = self.now + STABLE / 2;
+        let is_stable = self.now >= self.peers.core_changed + STABLE_PERIOD;
+        let has_waited_long =
+            self.now >= formation.started_at + self.settings.formation_delay * MAX_FORMATION_DELAYS;
+        if !is_stable && !has_waited_long {
+            formation.next_attempt_at = self.now + STABLE_PERIOD / 2;
             return;
         }
         self.start_ballot();
     }
 
-    /// The place of this seed among the seeds, which makes its ballots its own.
-    fn seed_place(&self) -> u64 {
+    /// The index of this seed among the seeds, which makes its ballots unique.
+    fn seed_index(&self) -> u64 {
         let own = self.peers.get(&self.name).map(|peer| peer.info.peer_address);
         self.settings.seeds.iter().position(|seed| Some(*seed) == own).unwrap_or(0) as u64
     }
 
     fn start_ballot(&mut self) {
-        let place = self.seed_place();
+        let seed_index = self.seed_index();
         let Some(formation) = &mut self.formation else { return };
-        formation.ballot = (formation.promised.max(formation.ballot) / BALLOT_STEP + 1) * BALLOT_STEP + place;
+        formation.ballot =
+            (formation.promised.max(formation.ballot) / BALLOT_STEP + 1) * BALLOT_STEP + seed_index;
         formation.promises.clear();
         formation.accepts.clear();
         formation.proposed = None;
@@ -130,7 +132,7 @@
 
     pub(crate) fn formation_message(&mut self, from: &NodeName, message: FormationMessage) {
         if let FormationMessage::Formed { members } = message {
-            return self.formed(members);
+            return self.core_decided(members);
         }
         if !self.is_live_seed(from) {
             return;
@@ -172,7 +174,7 @@
         let count = formation.promises.len();
         let earlier = formation.promises.values().flatten().max_by_key(|(ballot, _)| *ballot);
         let proposed = earlier.map_or(members, |(_, members)| members.clone());
-        if proposed.is_empty() || !self.is_seed_majority(count) {
+        if proposed.is_empty() || !self.is_majority_of_seeds(count) {
             return;
         }
         if let Some(formation) = &mut self.formation {
@@ -188,16 +190,16 @@
         }
         formation.accepts.insert(from.clone());
         let (count, proposed) = (formation.accepts.len(), formation.proposed.clone());
-        let Some(members) = proposed.filter(|_| self.is_seed_majority(count)) else { return };
+        let Some(members) = proposed.filter(|_| self.is_majority_of_seeds(count)) else { return };
         if let Some(formation) = &mut self.formation {
             formation.decided = Some(members.clone());
-            formation.next = self.now + TELL_PERIOD;
+            formation.next_attempt_at = self.now + DECISION_PERIOD;
         }
-        self.tell_formed(&members);
+        self.send_decision(&members);
     }
 
-    /// Tells the members and the seeds, until a leader has begun.
-    fn tell_formed(&mut self, members: &[CoreMember]) {
+    /// Sends the decision to the members and the seeds, until a leader has committed a state.
+    fn send_decision(&mut self, members: &[CoreMember]) {
         if self.replica.committed.stamp.epoch > 0 {
             self.formation = None;
             return;
@@ -210,14 +212,14 @@
         }
     }
 
-    /// The core is decided on.
-    fn formed(&mut self, members: Vec<CoreMember>) {
+    /// Handles the decision on the members of the core.
+    fn core_decided(&mut self, members: Vec<CoreMember>) {
         if let Some(formation) = &mut self.formation {
             formation.decided.get_or_insert_with(|| members.clone());
         }
         let is_member = self.identity.as_ref().is_some_and(|own| members.contains(own));
         if is_member && self.replica.accepted.core.is_empty() {
-            let agreed = Agreed::formed(members);
+            let agreed = Agreed::initial(members);
             let own = self.name.clone();
             self.replica.install(agreed, 0, &own, &mut self.effects);
             self.schedule_election_at_start();
--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -1,4 +1,4 @@
-//! Calls that this process took: passed on to the leader, and again to the next one, until they are answered.
+//! Forwards the calls that this process took to the leader, and again to the next leader, until they are answered.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,20 @@
 use crate::machine::Control;
 use crate::message::ControlMessage;
 use crate::operator::{CallId, OperatorRequest, Outcome, Token};
-use crate::transfer::time_to_carry;
+use crate::transfer::transfer_timeout;
 
-/// A core member that knows no leader is asked again after this.
+/// The delay before a core member is asked again when no leader is known.
 const NO_LEADER_PAUSE: Micros = 100_000;
 
-/// An unanswered call goes out again after so many of the usual pauses, and the time that its body may take on the way,
-/// if its receiver is alive; to the same receiver then after twice as long each time.
-const PATIENCE: Micros = 3;
+/// An unanswered call to a live receiver is sent again after this many resend periods plus the transfer time of its
+/// body. For repeats to the same receiver the pause doubles each time.
+const RESEND_PERIODS: Micros = 3;
 
-/// Who made a call, within this process.
+/// The source of a call within this process.
 #[derive(Clone, Copy)]
 pub(crate) enum Caller {
     Operator(Token),
-    /// This process renews its lease.
+    /// The lease of this process.
     Lease,
 }
 
@@ -33,13 +33,13 @@
     deadline: Micros,
     send_at: Micros,
     sent_to: Option<NodeName>,
-    /// Between the last sending and the next one.
+    /// The time between the last sending and the next one.
     pause: Micros,
 }
 
 impl Call {
-    /// Notes that the call goes out. The pause begins anew with another receiver.
-    fn sent(&mut self, receiver: &NodeName, now: Micros, first_pause: Micros) {
+    /// Notes that the call is sent. The pause is reset when the receiver changes.
+    fn mark_sent(&mut self, receiver: &NodeName, now: Micros, first_pause: Micros) {
         let is_repeat = self.sent_to.as_ref() == Some(receiver);
         self.pause = if is_repeat { self.pause * 2 } else { first_pause };
         self.send_at = now + self.pause;
@@ -47,17 +47,17 @@
     }
 }
 
-/// The calls under way.
+/// The calls that are not answered yet.
 #[derive(Clone)]
 pub(crate) struct Forwarder {
     calls: BTreeMap<CallId, Call>,
     next_call: CallId,
-    /// Rises with each choice among core members where no leader is known.
+    /// Counts the choices of a core member while no leader is known, so that they rotate.
     turn: usize,
 }
 
 impl Forwarder {
-    /// `first` is a number that no other process of this node counts from.
+    /// `first` must be a number from which no other process of this node counts.
     pub(crate) fn new(first: CallId) -> Self {
         Forwarder { calls: BTreeMap::new(), next_call: first, turn: 0 }
     }
@@ -76,7 +76,7 @@
 
 impl Control {
     pub(crate) fn forward(&mut self, caller: Caller, request: OperatorRequest) -> CallId {
-        let deadline = self.now + self.settings.call_timeout + time_to_carry(request.size());
+        let deadline = self.now + self.settings.call_timeout + transfer_timeout(request.size());
         let call = Call { caller, request, deadline, send_at: self.now, sent_to: None, pause: 0 };
         self.forwarder.add(call)
     }
@@ -86,20 +86,20 @@
             return;
         }
         let now = self.now;
-        let over: Vec<CallId> =
+        let expired_calls: Vec<CallId> =
             self.forwarder.calls.iter().filter(|(_, call)| call.deadline <= now).map(|(id, _)| *id).collect();
-        for id in over {
-            self.answered(id, Outcome::Unknown);
+        for id in expired_calls {
+            self.call_answered(id, Outcome::Unknown);
         }
-        let due: Vec<CallId> =
+        let due_calls: Vec<CallId> =
             self.forwarder.calls.iter().filter(|(_, call)| call.send_at <= now).map(|(id, _)| *id).collect();
-        for id in due {
+        for id in due_calls {
             self.send_call(id);
         }
     }
 
-    /// The leader, or a core member that may know it.
-    fn receiver(&mut self) -> Option<NodeName> {
+    /// The leader, or a core member that may know the leader.
+    fn next_receiver(&mut self) -> Option<NodeName> {
         if self.is_leader() {
             return Some(self.name.clone());
         }
@@ -114,29 +114,31 @@
         core.get(self.forwarder.turn % core.len()).cloned()
     }
 
-    /// Core members other than this process that are alive; before any are known, nodes that could be.
+    /// The live core members other than this process. Before any members are known, all live nodes that could become
+    /// members.
     pub(crate) fn live_core(&self) -> Vec<NodeName> {
         let core = &self.replica.committed.core;
-        let could_be = |name: &NodeName| core.is_empty() || core.voters().any(|member| member.name == *name);
+        let may_be_member =
+            |name: &NodeName| core.is_empty() || core.voters().any(|member| member.name == *name);
         let live =
             self.peers.live().filter(|peer| peer.core_member().is_some()).map(|peer| peer.info.name.clone());
-        live.filter(|name| *name != self.name && could_be(name)).collect()
+        live.filter(|name| *name != self.name && may_be_member(name)).collect()
     }
 
     fn send_call(&mut self, id: CallId) {
-        let receiver = self.receiver();
+        let receiver = self.next_receiver();
         let Some(call) = self.forwarder.calls.get_mut(&id) else { return };
         let Some(receiver) = receiver else {
             call.send_at = self.now + NO_LEADER_PAUSE;
             return;
         };
-        let first_pause = self.settings.resend * PATIENCE + time_to_carry(call.request.size());
-        call.sent(&receiver, self.now, first_pause);
+        let first_pause = self.settings.resend * RESEND_PERIODS + transfer_timeout(call.request.size());
+        call.mark_sent(&receiver, self.now, first_pause);
         let request = call.request.clone();
         self.send(receiver, ControlMessage::Operator { call: id, request });
     }
 
-    pub(crate) fn answered(&mut self, id: CallId, outcome: Outcome) {
+    pub(crate) fn call_answered(&mut self, id: CallId, outcome: Outcome) {
         let Some(call) = self.forwarder.calls.remove(&id) else { return };
         match call.caller {
             Caller::Operator(token) => self.effects.push(Effect::Answer { token, outcome }),
@@ -144,19 +146,19 @@
         }
     }
 
-    /// A node cannot be reached: calls that wait for it are sent again soon.
-    pub(crate) fn lost_contact(&mut self, name: &NodeName) {
+    /// Handles a node that cannot be reached: calls that wait for it are sent again soon.
+    pub(crate) fn node_unreachable(&mut self, name: &NodeName) {
         if self.leader_hint.as_ref() == Some(name) {
             self.leader_hint = None;
         }
-        let again = self.now + NO_LEADER_PAUSE;
+        let resend_at = self.now + NO_LEADER_PAUSE;
         for call in self.forwarder.calls.values_mut().filter(|call| call.sent_to.as_ref() == Some(name)) {
             call.sent_to = None;
-            call.send_at = call.send_at.min(again);
+            call.send_at = call.send_at.min(resend_at);
         }
     }
 
-    /// The receiver does not lead. It may know who does.
+    /// Handles the answer of a receiver that does not lead. It may name the leader.
     pub(crate) fn not_leader(&mut self, from: &NodeName, id: CallId, leader: Option<NodeName>) {
         if self.leader_hint.as_ref() == Some(from) || self.leader_hint.is_none() {
             self.leader_hint = leader.clone().filter(|leader| leader != from && *leader != self.name);
--- a/crates/control/src/homes.rs
+++ b/crates/control/src/homes.rs
@@ -1,9 +1,10 @@
-//! Which relays may hand out permits of limited services: the leader's decisions.
+//! The leader's decisions on which relays may grant permits of limited services.
 //!
-//! A relay that becomes the home of a service has to know whoever may have granted permits of it before. Once all of these
-//! have told that they grant none any more, it need not wait for what one that is silent may still do. So their list is
-//! agreed: a relay hands permits out only while it knows that it stands on the list, and leaves the list only when it has
-//! been gone for longer than it may act without the core's word.
+//! A relay that becomes the home of a service must know every relay that may have granted permits of it before. Once
+//! all of these have reported that they grant none any more, the new home need not wait for permits that an
+//! unreachable relay may still grant. This requires that the core agrees on the list: a relay grants permits only
+//! while it knows that it is on the list, and it is removed only after it has been gone for longer than it may act
+//! without contact with the core.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +14,7 @@
 use crate::machine::Control;
 
 impl Control {
-    /// The next change of the list, if one is due. Nothing is in flight.
+    /// The next change of the list, if one is due. Must be called with nothing in flight.
     pub(crate) fn next_homes(&self) -> Option<Command> {
         if !self.settings.agrees_on_homes {
             return None;
@@ -25,15 +26,15 @@
         is_due.then_some(Command::Homes { joining, leaving })
     }
 
-    /// Relays that have been there for a moment and are not on the list.
+    /// Relays that have been alive for the settling time and are not on the list.
     fn joining_homes(&self, listed: &BTreeSet<&NodeName>) -> Vec<NodeName> {
         let is_joining = |name: &NodeName| !listed.contains(name);
-        let settled = self.peers.settled(self.now, self.settings.settle);
-        let relays = settled.filter(|peer| peer.info.role == NodeRole::Relay);
+        let live_for_settling_time = self.peers.live_for(self.now, self.settings.settle);
+        let relays = live_for_settling_time.filter(|peer| peer.info.role == NodeRole::Relay);
         relays.map(|peer| peer.info.name.clone()).filter(is_joining).collect()
     }
 
-    /// Relays on the list that have been gone for so long that nothing of theirs is in force.
+    /// Relays on the list that have been gone for so long that no permit of theirs is still valid.
     fn leaving_homes(&self, listed: &BTreeSet<&NodeName>) -> Vec<NodeName> {
         let is_gone = |name: &NodeName| {
             let since = self.peers.node_gone_since(name, self.started);
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: it proposes entries, commits them, and keeps its leadership confirmed.
+//! The leader: proposes entries, commits them, and keeps its leadership confirmed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,27 +7,28 @@
 use pewterseam_wire::placement::{PlacementEpoch, StoreId};
 
 use crate::agreed::Agreed;
+use crate::calls::{PendingCall, PendingRead, QueuedCall};
 use crate::election::Role;
 use crate::entry::{Command, CoreMember, Entry, RequestId, Stamp};
 use crate::machine::Control;
 use crate::message::ControlMessage;
-use crate::orders::{Asker, Order, Read};
-use crate::transfer::time_to_carry;
+use crate::transfer::transfer_timeout;
 
-/// An entry on its way to a majority.
+/// An entry that is proposed and not yet accepted by a majority.
 #[derive(Clone)]
 pub(crate) struct InFlight {
     entry: Entry,
     accepted: BTreeSet<CoreMember>,
-    /// The change that it carries, and who waits for it.
+    /// The identifier of the operator's change in the entry and the version that results from it, and the calls that
+    /// wait for it.
     pub request: Option<(RequestId, u64)>,
-    pub askers: Vec<Asker>,
+    pub pending_calls: Vec<PendingCall>,
     resend_at: Micros,
 }
 
-/// The last answer of a member to a heartbeat.
+/// A member's last heartbeat answer.
 #[derive(Clone)]
-struct Answered {
+struct HeartbeatRecord {
     round: u64,
     at: Micros,
     committed: u64,
@@ -37,13 +38,13 @@
 #[derive(Clone)]
 pub(crate) struct Leader {
     pub epoch: u64,
-    /// An entry of its own epoch is committed: it may serve.
+    /// Whether an entry of this epoch is committed, so that the leader may serve requests.
     pub is_serving: bool,
     pub in_flight: Option<InFlight>,
-    pub queue: VecDeque<Order>,
-    pub reads: Vec<Read>,
+    pub queue: VecDeque<QueuedCall>,
+    pub reads: Vec<PendingRead>,
     pub round: u64,
-    answers: BTreeMap<CoreMember, Answered>,
+    answers: BTreeMap<CoreMember, HeartbeatRecord>,
     pub copied: BTreeMap<StoreId, PlacementEpoch>,
     next_heartbeat: Micros,
     next_housekeeping: Micros,
@@ -51,7 +52,8 @@
 
 impl Leader {
     pub(crate) fn new(epoch: u64, now: Micros, accepted: &Agreed) -> Self {
-        let answered = |member: &CoreMember| (member.clone(), Answered { round: 0, at: now, committed: 0 });
+        let initial_record =
+            |member: &CoreMember| (member.clone(), HeartbeatRecord { round: 0, at: now, committed: 0 });
         Leader {
             epoch,
             is_serving: false,
@@ -59,7 +61,7 @@
             queue: VecDeque::new(),
             reads: Vec::new(),
             round: 0,
-            answers: accepted.core.voters().map(answered).collect(),
+            answers: accepted.core.voters().map(initial_record).collect(),
             copied: BTreeMap::new(),
             next_heartbeat: now,
             next_housekeeping: now,
@@ -67,39 +69,39 @@
     }
 
     pub(crate) fn next_wake(&self) -> Micros {
-        let resend = self.in_flight.as_ref().map_or(Micros::MAX, |in_flight| in_flight.resend_at);
-        self.next_heartbeat.min(self.next_housekeeping).min(resend)
+        let resend_at = self.in_flight.as_ref().map_or(Micros::MAX, |in_flight| in_flight.resend_at);
+        self.next_heartbeat.min(self.next_housekeeping).min(resend_at)
     }
 
-    /// Whether more than half of the core answered lately.
-    pub(crate) fn has_majority(&self, accepted: &Agreed, now: Micros, within: Micros) -> bool {
-        let fresh = self.answers.iter().filter(|(_, answered)| now < answered.at + within);
-        accepted.core.is_majority(fresh.map(|(member, _)| member))
+    /// Whether a majority of the core answered timeout this time.
+    pub(crate) fn has_majority(&self, accepted: &Agreed, now: Micros, timeout: Micros) -> bool {
+        let recent = self.answers.iter().filter(|(_, answered)| now < answered.at + timeout);
+        accepted.core.is_majority(recent.map(|(member, _)| member))
     }
 
-    /// The last round of heartbeats that more than half of the core answered.
+    /// The last round of heartbeats that a majority of the core answered.
     pub(crate) fn confirmed_round(&self, accepted: &Agreed) -> u64 {
         accepted.core.majority_value(|member| self.answers.get(member).map_or(0, |answered| answered.round))
     }
 
-    /// Whether a node answered lately and knows this index.
-    pub(crate) fn is_caught_up(&self, member: &CoreMember, index: u64, now: Micros, within: Micros) -> bool {
+    /// Whether a node answered timeout this time and knows this index.
+    pub(crate) fn is_caught_up(&self, member: &CoreMember, index: u64, now: Micros, timeout: Micros) -> bool {
         self.answers
             .get(member)
-            .is_some_and(|answered| now < answered.at + within && answered.committed >= index)
+            .is_some_and(|answered| now < answered.at + timeout && answered.committed >= index)
     }
 }
 
 impl Control {
-    /// The first entry of an epoch.
+    /// Proposes the first entry of an epoch.
     pub(crate) fn begin_epoch(&mut self) {
         self.propose(Command::Lead { leader: self.name.clone() }, None, Vec::new());
         self.start_round();
     }
 
-    /// Proposes the next entry. Nothing may be in flight.
+    /// Proposes the next entry. Must be called with nothing in flight.
     pub(crate) fn propose(
-        &mut self, command: Command, request: Option<(RequestId, u64)>, askers: Vec<Asker>,
+        &mut self, command: Command, request: Option<(RequestId, u64)>, pending_calls: Vec<PendingCall>,
     ) {
         let Role::Leader(leader) = &mut self.role else { return };
         let previous = self.replica.accepted.stamp;
@@ -111,7 +113,8 @@
         self.announce(&entry);
         let Role::Leader(leader) = &mut self.role else { return };
         let resend_at = self.now + self.settings.resend;
-        leader.in_flight = Some(InFlight { entry, accepted: BTreeSet::new(), request, askers, resend_at });
+        leader.in_flight =
+            Some(InFlight { entry, accepted: BTreeSet::new(), request, pending_calls, resend_at });
         if let Some(member) = self.identity.clone() {
             let answer = ControlMessage::AcceptAnswer { epoch: stamp.epoch, member, stamp };
             self.replica.send_after_sync(self.name.clone(), answer);
@@ -119,11 +122,11 @@
         self.send_proposal();
     }
 
-    /// Sends what is in flight to the members that have not accepted it.
+    /// Sends the entry in flight to the members that have not accepted it.
     fn send_proposal(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(in_flight) = &mut leader.in_flight else { return };
-        in_flight.resend_at = self.now + self.settings.resend + time_to_carry(in_flight.entry.size());
+        in_flight.resend_at = self.now + self.settings.resend + transfer_timeout(in_flight.entry.size());
         let (epoch, committed) = (leader.epoch, self.replica.committed.stamp);
         let message = ControlMessage::Accept { epoch, entry: in_flight.entry.clone(), committed };
         let members = self.replica.accepted.core.voters();
@@ -138,7 +141,7 @@
     pub(crate) fn need_state(&mut self, from: &NodeName, epoch: u64) {
         let Role::Leader(leader) = &self.role else { return };
         if leader.epoch == epoch && leader.in_flight.is_some() {
-            self.hand_out_accepted(from);
+            self.send_accepted_state(from);
         }
     }
 
@@ -161,16 +164,16 @@
         self.replica.commit(in_flight.entry.stamp, &mut self.effects);
         self.answer_committed(&in_flight);
         if self.own_member().is_none() {
-            self.spread_commit(&in_flight.entry);
+            self.distribute_commit(&in_flight.entry);
             return self.step_down();
         }
-        // The members learn of the commit before links are busy with the entry.
+        // The heartbeat comes first, so that the members learn of the commit before the entry occupies the links.
         self.start_round();
-        self.spread_commit(&in_flight.entry);
-        self.next_order();
+        self.distribute_commit(&in_flight.entry);
+        self.propose_next();
     }
 
-    /// A new round of heartbeats, to the core and to those that could join it.
+    /// Starts a round of heartbeats to the core members and to the nodes that could join the core.
     pub(crate) fn start_round(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         leader.round += 1;
@@ -195,7 +198,7 @@
             return;
         }
         let at = self.now;
-        leader.answers.insert(member, Answered { round, at, committed });
+        leader.answers.insert(member, HeartbeatRecord { round, at, committed });
         self.answer_reads();
     }
 
@@ -205,33 +208,34 @@
             return self.step_down();
         }
         if self.is_disk_stalled() {
-            // A member whose disk works leads better.
+            // A member with a working disk should lead instead.
             return self.step_down();
         }
-        let resend = leader.in_flight.as_ref().is_some_and(|in_flight| self.now >= in_flight.resend_at);
-        let (heartbeat, housekeeping) =
+        let is_resend_due =
+            leader.in_flight.as_ref().is_some_and(|in_flight| self.now >= in_flight.resend_at);
+        let (is_heartbeat_due, is_housekeeping_due) =
             (self.now >= leader.next_heartbeat, self.now >= leader.next_housekeeping);
-        if resend {
+        if is_resend_due {
             self.send_proposal();
         }
-        if heartbeat {
+        if is_heartbeat_due {
             self.start_round();
         }
-        if housekeeping {
+        if is_housekeeping_due {
             if let Role::Leader(leader) = &mut self.role {
                 leader.next_housekeeping = self.now + self.settings.housekeeping;
             }
-            self.next_order();
+            self.propose_next();
         }
     }
 
-    /// The next change that follows from who is there, if one is due.
+    /// The next change that the membership calls for, if one is due.
     fn next_membership_change(&self) -> Option<Command> {
         self.next_core_change().or_else(|| self.next_placement()).or_else(|| self.next_homes())
     }
 
-    /// The next thing to propose, if nothing is in flight.
-    pub(crate) fn next_order(&mut self) {
+    /// Proposes the next change, or processes queued calls, until an entry is in flight.
+    pub(crate) fn propose_next(&mut self) {
         loop {
             let Role::Leader(leader) = &mut self.role else { return };
             if leader.in_flight.is_some() || !leader.is_serving {
@@ -242,7 +246,7 @@
             }
             let Role::Leader(leader) = &mut self.role else { return };
             let Some(order) = leader.queue.pop_front() else { return };
-            self.work_off(order);
+            self.process_order(order);
         }
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,14 +1,16 @@
 //! The replicated configuration, placement and core membership of the system, as a state machine without I/O.
 //!
-//! One state is agreed on at a time. It is named by a [`Stamp`]: the epoch of the leader that proposed it and its index.
-//! The core members (relays with a disk) accept states durably; a state is committed once a majority of its own members
-//! has synced it. A new leader takes an epoch with the promises of a majority, adopts the greatest state among them,
-//! commits an entry of its own epoch on top, and only then serves. All other processes learn committed states.
+//! This is a consensus protocol on a single replicated state. A state is identified by a [`Stamp`]: the epoch (term)
+//! of the leader that proposed it, and its index. The core members (relays with a disk) accept states durably; a state
+//! is committed once a majority of the members that it names has synced it. A new leader claims an epoch by collecting
+//! promises from a majority, adopts the greatest state among them, commits an entry of its own epoch on top of it, and
+//! only then serves requests. All other processes learn committed states.
 //!
-//! Every process runs a [`Control`]. Its driver sends messages, syncs records, and passes on changes of membership.
+//! Every process runs a [`Control`]. Its driver sends messages, syncs records, and reports membership changes.
 
 mod agreed;
 mod backup;
+mod calls;
 mod catch_up;
 mod contact;
 mod copied;
@@ -25,7 +27,6 @@
 mod machine;
 mod message;
 mod operator;
-mod orders;
 mod peers;
 mod placement;
 mod replica;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,4 +1,4 @@
-//! The machine: its parts, what comes in, and the order in which it is worked off.
+//! The state machine: its parts, its inputs, and the order in which it processes them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 use crate::settings::ControlSettings;
 use crate::storage::recover;
 
-/// Control in one process. A copy goes on by itself from the same state.
+/// The control state machine of one process. A clone continues independently from the same state.
 #[derive(Clone)]
 pub struct Control {
     pub(crate) name: NodeName,
@@ -40,26 +40,27 @@
     pub(crate) peers: Peers,
     pub(crate) replica: Replica,
     pub(crate) role: Role,
-    /// The highest epoch that was heard of.
+    /// The highest epoch seen in any message.
     pub(crate) highest_epoch: u64,
     pub(crate) leader_hint: Option<NodeName>,
     pub(crate) formation: Option<Formation>,
     pub(crate) forwarder: Forwarder,
     pub(crate) catch_up: CatchUp,
     pub(crate) lease: Lease,
-    /// What the store of this process holds, until the placement goes on.
+    /// The store of this process with the placement epoch whose messages it has copied, and when to report it next;
+    /// none once the placement has moved on.
     pub(crate) copied: Option<(StoreId, PlacementEpoch, Micros)>,
     pub(crate) checker: Option<Arc<Checker>>,
     pub(crate) effects: Vec<Effect>,
-    /// Messages to this process itself.
+    /// Messages from this process to itself.
     inbox: VecDeque<ControlMessage>,
     in_force: Arc<ControlState>,
     wake: Micros,
 }
 
 impl Control {
-    /// A process that starts, with what its log holds. `seed` is one that no earlier process of this node had. Call
-    /// [`Control::tick`] at once.
+    /// Starts a process with the content of its log. No earlier process of this node may have used the same `seed`.
+    /// The caller must call [`Control::tick`] at once.
     pub fn new(
         now: Micros, info: &NodeInfo, settings: ControlSettings, log: (Option<Bytes>, Vec<Bytes>), seed: u64,
     ) -> Result<Self, ControlError> {
@@ -84,7 +85,7 @@
             highest_epoch: 0,
             leader_hint: None,
             formation,
-            forwarder: Forwarder::new(first_call(seed)),
+            forwarder: Forwarder::new(first_call_id(seed)),
             catch_up: CatchUp::default(),
             lease: Lease::new(now, settings.contact),
             copied: None,
@@ -99,48 +100,49 @@
         Ok(control)
     }
 
-    /// The newest committed state that this process knows.
+    /// The newest committed state known to this process.
     pub fn state(&self) -> &Arc<ControlState> {
         &self.in_force
     }
 
-    /// The configuration of [`Control::state`] in the form in which it is in force. It is made at the first call; after
-    /// that, changes carry it on at little cost.
+    /// The configuration of [`Control::state`] in its compiled form. The first call compiles it; later changes update
+    /// it at little cost.
     pub fn config(&self) -> Result<Arc<CompiledConfig>, ControlError> {
         self.replica.committed.live()?.compiled().map_err(ControlError::Config)
     }
 
-    /// The index of [`Control::state`], for membership's digest.
+    /// The index of [`Control::state`], which membership spreads as its digest.
     pub fn index(&self) -> u64 {
         self.in_force.index
     }
 
-    /// When the last question was sent that a majority of the core has confirmed since.
+    /// When the last lease request was sent that a majority of the core has confirmed since.
     pub fn confirmed_at(&self) -> Option<Micros> {
-        self.lease.confirmed()
+        self.lease.confirmed_at()
     }
 
-    /// Whether this process is in touch with a majority of the core. Ask with the time of the moment: contact lapses.
+    /// The contact of this process with a majority of the core. The caller passes the present time, because contact
+    /// lapses.
     pub fn contact(&self, now: Micros) -> Contact {
         self.lease.contact(now.max(self.now))
     }
 
-    /// Whether this process knows all that was committed up to a short while before this moment.
+    /// Whether this process knows everything that was committed up to a short time before `now`.
     pub fn is_current(&self, now: Micros) -> bool {
         matches!(self.contact(now), Contact::InTouch { .. })
     }
 
-    /// Whether this process leads, as far as it knows.
+    /// Whether this process believes that it leads.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The epochs that an operator forced, as far as is known here.
+    /// The epochs that an operator forced, as of the newest committed state known here.
     pub fn forced_epochs(&self) -> &[ForcedEpoch] {
         &self.replica.committed.forced
     }
 
-    /// The state that was accepted last.
+    /// The stamp of the last accepted state.
     pub fn accepted_stamp(&self) -> Stamp {
         self.replica.accepted.stamp
     }
@@ -160,70 +162,71 @@
         self.wake
     }
 
-    /// Time has come. May be called at any time.
+    /// Runs the timers that are due. May be called at any time.
     pub fn tick(&mut self, now: Micros) -> Vec<Effect> {
-        self.enter(now);
-        self.finish()
+        self.advance_clock(now);
+        self.process_pending()
     }
 
-    /// A message arrived from a node.
+    /// Handles a message from a node.
     pub fn message(&mut self, now: Micros, from: &NodeName, message: ControlMessage) -> Vec<Effect> {
-        self.enter(now);
+        self.advance_clock(now);
         self.handle(from, message);
-        self.finish()
+        self.process_pending()
     }
 
-    /// Membership changed.
+    /// Handles a change of membership.
     pub fn member(&mut self, now: Micros, change: &MemberChange) -> Vec<Effect> {
-        self.enter(now);
+        self.advance_clock(now);
         self.peers.change(now, change);
         if let MemberChange::Down { info, .. } = change {
             self.leader_may_be_gone(&info.name);
         }
-        self.finish()
+        self.process_pending()
     }
 
-    /// A connection to a node was refused or broke: calls that went there are sent elsewhere, or again.
+    /// Handles a connection that was refused or broken: calls sent to that node are sent elsewhere, or again.
     pub fn unreachable(&mut self, now: Micros, name: &NodeName) -> Vec<Effect> {
-        self.enter(now);
-        self.lost_contact(name);
-        self.finish()
+        self.advance_clock(now);
+        self.node_unreachable(name);
+        self.process_pending()
     }
 
-    /// Membership told that a node knows this index.
+    /// Handles a report from membership that a node knows the state with this index.
     pub fn peer_digest(&mut self, now: Micros, name: &NodeName, digest: u64) -> Vec<Effect> {
-        self.enter(now);
-        self.heard_of_index(digest, name.clone());
-        self.finish()
+        self.advance_clock(now);
+        self.note_known_index(digest, name.clone());
+        self.process_pending()
     }
 
-    /// All records up to a sequence are synced.
+    /// Handles the disk's report that all records up to a sequence are synced.
     pub fn persisted(&mut self, now: Micros, sequence: u64) -> Vec<Effect> {
-        self.enter(now);
+        self.advance_clock(now);
         self.replica.persisted(sequence);
-        self.finish()
+        self.process_pending()
     }
 
-    /// An operator's call. It is answered by one [`Effect::Answer`].
+    /// Takes an operator's call. It is answered by one [`Effect::Answer`].
     pub fn operator(&mut self, now: Micros, token: Token, request: OperatorRequest) -> Vec<Effect> {
-        self.enter(now);
+        self.advance_clock(now);
         self.forward(Caller::Operator(token), request);
-        self.finish()
+        self.process_pending()
     }
 
-    /// The store of this process holds all that the placement of this epoch asks for. It is told until it is heard.
+    /// The store of this process has copied everything that the placement of this epoch assigns to it. This is
+    /// reported to the leader until the placement moves on.
     pub fn copied(&mut self, now: Micros, store: StoreId, epoch: PlacementEpoch) -> Vec<Effect> {
-        self.enter(now);
+        self.advance_clock(now);
         self.copied = Some((store, epoch, now));
-        self.finish()
+        self.process_pending()
     }
 
-    fn enter(&mut self, now: Micros) {
+    fn advance_clock(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    /// Works off what is due and what this process told itself.
-    fn finish(&mut self) -> Vec<Effect> {
+    /// Processes due timers and the messages of this process to itself, then returns the effects.
+    fn process_pending(&mut self) -> Vec<Effect> {
         loop {
             self.run_timers();
             while let Some((to, message)) = self.replica.next_synced() {
@@ -233,9 +236,9 @@
             let own = self.name.clone();
             self.handle(&own, message);
         }
-        self.replica.watch_disk(self.now);
-        self.publish();
-        self.schedule();
+        self.replica.track_outstanding_sync(self.now);
+        self.publish_changes();
+        self.schedule_wake();
         std::mem::take(&mut self.effects)
     }
 
@@ -246,7 +249,7 @@
         self.run_forwarder();
         self.run_catch_up();
         self.run_lease();
-        self.tell_copied();
+        self.report_copied();
     }
 
     pub(crate) fn send(&mut self, to: NodeName, message: ControlMessage) {
@@ -257,8 +260,8 @@
         }
     }
 
-    /// Puts a newer committed state in force.
-    fn publish(&mut self) {
+    /// Reports a newer committed state and a change of contact to the driver.
+    fn publish_changes(&mut self) {
         if self.replica.committed.stamp.index > self.in_force.index {
             self.in_force = Arc::new(self.replica.committed.state.clone());
             self.effects.push(Effect::InForce(self.in_force.clone()));
@@ -268,7 +271,7 @@
         }
     }
 
-    fn schedule(&mut self) {
+    fn schedule_wake(&mut self) {
         let copied = self.copied.as_ref().map_or(Micros::MAX, |(_, _, at)| *at);
         let wakes = [
             self.formation.as_ref().map_or(Micros::MAX, Formation::next_wake),
@@ -306,22 +309,22 @@
                 self.heartbeat_answer(epoch, round, member, committed);
             }
             ControlMessage::Announce { index, bytes } => self.announced(index, bytes),
-            ControlMessage::Push { entry, leader, others } => self.pushed(from, entry, leader, others),
+            ControlMessage::Push { entry, leader, others } => self.receive_push(from, entry, leader, others),
             ControlMessage::Fetch { have } => self.fetch(from, have),
             ControlMessage::NothingNewer => self.nothing_newer(),
             ControlMessage::Entries { entries } => self.entries(from, entries),
             ControlMessage::StatePiece(piece) => self.state_piece(from, piece),
             ControlMessage::FetchPieces { state, numbers } => self.fetch_pieces(from, state, &numbers),
             ControlMessage::NoSuchState { state } => self.no_such_state(state),
-            ControlMessage::Operator { call, request } => self.order(from, call, request),
-            ControlMessage::OperatorAnswer { call, outcome } => self.answered(call, outcome),
+            ControlMessage::Operator { call, request } => self.receive_call(from, call, request),
+            ControlMessage::OperatorAnswer { call, outcome } => self.call_answered(call, outcome),
             ControlMessage::NotLeader { call, leader } => self.not_leader(from, call, leader),
             ControlMessage::Copied { store, epoch } => self.store_copied(store, epoch),
         }
     }
 }
 
-/// The number from which a process counts its calls. Two seeds never give the same.
-fn first_call(seed: u64) -> CallId {
+/// The first call identifier of a process. Two seeds never give the same one.
+fn first_call_id(seed: u64) -> CallId {
     CallId(Random::new(!seed).draw())
 }
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other about control.
+//! Control messages between processes.
 
 use pewterseam_wire::identity::NodeName;
 use pewterseam_wire::placement::{PlacementEpoch, StoreId};
@@ -8,11 +8,11 @@
 use crate::operator::{CallId, OperatorRequest, Outcome};
 use crate::transfer::{StateName, StatePiece};
 
-/// A message of control. The driver tells the sender's name beside it.
+/// A control message. The driver passes the sender's name separately.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlMessage {
     Formation(FormationMessage),
-    /// Would you promise this epoch? Changes nothing at the receiver.
+    /// Asks whether the receiver would promise this epoch. Changes nothing at the receiver.
     PreVote {
         epoch: u64,
     },
@@ -21,37 +21,38 @@
         member: CoreMember,
         granted: bool,
     },
-    /// Promise to accept nothing of an earlier epoch.
+    /// Asks the receiver to promise that it accepts nothing of an earlier epoch.
     Prepare {
         epoch: u64,
     },
-    /// Promised durably. `stamp` is that of the state accepted so far.
+    /// The epoch is promised durably. `stamp` identifies the state accepted so far.
     Promise {
         epoch: u64,
         member: CoreMember,
         stamp: Stamp,
     },
-    /// This higher epoch was promised already.
+    /// Rejects an epoch: this higher one was promised already.
     Refused {
         promised: u64,
     },
-    /// A candidate asks for the state that was accepted. It comes in pieces.
+    /// A candidate requests the accepted state of the receiver, which sends it in pieces.
     ReadAccepted {
         epoch: u64,
     },
-    /// Accept the state after this entry.
+    /// Asks the receiver to accept the state that results from this entry.
     Accept {
         epoch: u64,
         entry: Entry,
         committed: Stamp,
     },
-    /// Accepted durably.
+    /// The state is accepted durably.
     AcceptAnswer {
         epoch: u64,
         member: CoreMember,
         stamp: Stamp,
     },
-    /// The receiver of an `Accept` lacks the state before the entry. The state after it comes in pieces.
+    /// The receiver of an `Accept` lacks the state before the entry. The leader sends the state after the entry in
+    /// pieces.
     NeedState {
         epoch: u64,
     },
@@ -60,42 +61,42 @@
         round: u64,
         committed: Stamp,
     },
-    /// `committed` is the index of the newest committed state here.
+    /// `committed` is the index of the newest committed state at the sender.
     HeartbeatAnswer {
         epoch: u64,
         round: u64,
         member: CoreMember,
         committed: u64,
     },
-    /// A long entry is proposed, and will be passed on. `bytes` is its size.
+    /// Announces that a large entry is proposed and will be pushed. `bytes` is its size.
     Announce {
         index: u64,
         bytes: u64,
     },
-    /// A committed entry, for a process that is not of the core. The receiver passes it on to the others.
+    /// A committed entry, for a process outside the core. The receiver forwards it to the processes in `others`.
     Push {
         entry: Entry,
         leader: NodeName,
         others: Vec<NodeName>,
     },
-    /// Asks for what was committed after this state.
+    /// Requests what was committed after this state.
     Fetch {
         have: Stamp,
     },
-    /// The asker knows all that was committed as far as the sender knows.
+    /// The receiver already has everything that the sender knows to be committed.
     NothingNewer,
     /// Committed entries, in order.
     Entries {
         entries: Vec<Entry>,
     },
-    /// A part of a whole state.
+    /// A piece of a complete state.
     StatePiece(StatePiece),
-    /// Asks for parts of a state whose transfer has begun.
+    /// Requests pieces of a state whose transfer has begun.
     FetchPieces {
         state: StateName,
         numbers: Vec<u32>,
     },
-    /// The state that was asked for is not here, or no longer.
+    /// The requested state is not available at the sender, or no longer.
     NoSuchState {
         state: StateName,
     },
@@ -107,19 +108,19 @@
         call: CallId,
         outcome: Outcome,
     },
-    /// The call was not settled here.
+    /// The sender does not lead and did not execute the call.
     NotLeader {
         call: CallId,
         leader: Option<NodeName>,
     },
-    /// A store holds all that its part of the placement of this epoch asks for.
+    /// A store has copied everything that the placement of this epoch assigns to it.
     Copied {
         store: StoreId,
         epoch: PlacementEpoch,
     },
 }
 
-/// Agreement of the seeds on the first members of the core, by Paxos with one decree.
+/// Messages of the seeds' single-decree Paxos on the first members of the core.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FormationMessage {
     Prepare {
@@ -136,11 +137,11 @@
     Accepted {
         ballot: u64,
     },
-    /// A higher ballot was promised.
+    /// Rejects a ballot: this higher one was promised.
     Refused {
         promised: u64,
     },
-    /// Decided.
+    /// The members that were chosen.
     Formed {
         members: Vec<CoreMember>,
     },
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -1,4 +1,4 @@
-//! Calls of the operator and their outcomes.
+//! Operator calls and their outcomes.
 
 use std::sync::Arc;
 
@@ -9,18 +9,20 @@
 
 use crate::entry::Change;
 
-/// Names an operator's call within the process that took it. The driver chooses it; no other process sees it.
+/// Identifies an operator's call within the process that took it. The driver chooses the token; no other process sees
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// Names a call between the process that makes it and the leader.
+/// Identifies a call between the process that makes it and the leader.
 ///
-/// Answers go to a node by its name, so they may reach a later process of the node than the one that asked. A process
-/// counts its calls from a number that is drawn at random, which no other process of the node shares.
+/// Answers are addressed to a node by name, so they may reach a later process of that node than the one that made the
+/// call. Each process numbers its calls from a random start, so that the numbers of two processes of a node do not
+/// overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// What an operator asks for.
+/// A request to the leader, from an operator or from a process that renews its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorRequest {
     /// `PUT` or `PATCH /-/config`.
@@ -31,9 +33,9 @@
     Retire { node: NodeName },
     /// `GET /-/retire/NODE`.
     ReadRetire { node: NodeName },
-    /// A process that is out of touch asks for the newest index.
+    /// A process without contact asks for the newest index.
     ReadIndex,
-    /// A process that is in touch asks the same, and can wait for the leader's next heartbeat.
+    /// A process in contact asks for the newest index, and can wait for the leader's next heartbeat.
     RenewLease,
 }
 
@@ -56,16 +58,16 @@
     }
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// 200: this change is durable, now or long since.
+    /// 200: the change is durable, accepted by this call or by an earlier one.
     Accepted { version: u64 },
     /// 412: another version is current.
     Conflict { current: u64 },
-    /// 400, with all that is wrong.
+    /// 400, with all errors found.
     Invalid { errors: Vec<String> },
-    /// 200 with the newest configuration; version 0 and no text before the first.
+    /// 200 with the newest configuration; version 0 and an empty text before the first configuration.
     Config(Arc<ConfigDocument>),
     /// 200: the store is being emptied, or is empty.
     Retiring,
@@ -77,6 +79,6 @@
     TooFewStores,
     /// The newest index.
     Index(u64),
-    /// No clear answer may be given: the connection is closed, or 503.
+    /// The outcome is unknown: the connection is closed, or the answer is 503.
     Unknown,
 }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! The members of the system as control sees them.
+//! The nodes of the system as control knows them from membership.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 
 use crate::entry::CoreMember;
 
-/// So long after its start a process takes nodes that it sees first for old ones.
-const KNOWN_AFTER: Micros = 3_000_000;
+/// A node that appears within this time after the start of this process counts as having existed before it.
+const STARTUP_PERIOD: Micros = 3_000_000;
 
-/// A successor may have been seen by so much before the death was.
-const BEFORE_DEATH: Micros = 8_000_000;
+/// A successor may appear up to this long before the failure of the node that it replaces is noticed.
+const MAX_FAILURE_DETECTION_DELAY: Micros = 8_000_000;
 
-/// One node, with the time since when it is alive or dead.
+/// A node, and since when it has been alive or dead.
 #[derive(Clone)]
 pub(crate) struct Peer {
     pub info: Arc<NodeInfo>,
@@ -28,7 +28,7 @@
 }
 
 impl Peer {
-    /// The core member that this node is or could be.
+    /// The core member that this node is or could become.
     pub(crate) fn core_member(&self) -> Option<CoreMember> {
         let is_core = self.info.role == Role::Relay && self.info.counts_for_quorum;
         let disk = self.info.disk.filter(|_| is_core)?;
@@ -41,13 +41,13 @@
     }
 }
 
-/// All nodes that membership told of, with this one.
+/// All nodes that membership has reported, including this one.
 #[derive(Clone, Default)]
 pub(crate) struct Peers {
     nodes: BTreeMap<NodeName, Peer>,
-    /// When a store last came or went.
+    /// When a store last appeared or disappeared.
     pub stores_changed: Micros,
-    /// When a possible core member last came or went.
+    /// When a relay, which may be a core member, last appeared or disappeared.
     pub core_changed: Micros,
 }
 
@@ -61,11 +61,11 @@
         if !is_live && known.is_some_and(|peer| peer.info.life > info.life) {
             return;
         }
-        let same = known.is_some_and(|peer| peer.is_live == is_live && peer.info.life == info.life);
-        let since = known.filter(|_| same).map_or(now, |peer| peer.since);
+        let is_same_state = known.is_some_and(|peer| peer.is_live == is_live && peer.info.life == info.life);
+        let since = known.filter(|_| is_same_state).map_or(now, |peer| peer.since);
         let same_disk = known.filter(|peer| peer.info.disk == info.disk);
         let first_seen = same_disk.map_or(now, |peer| peer.first_seen);
-        if !same {
+        if !is_same_state {
             match info.role {
                 Role::Store => self.stores_changed = now,
                 Role::Relay => self.core_changed = now,
@@ -86,8 +86,8 @@
         self.nodes.values().filter(|peer| peer.is_live)
     }
 
-    /// Nodes that have been there for so long.
-    pub(crate) fn settled(&self, now: Micros, span: Micros) -> impl Iterator<Item = &Peer> {
+    /// The nodes that have been alive for this long.
+    pub(crate) fn live_for(&self, now: Micros, span: Micros) -> impl Iterator<Item = &Peer> {
         self.live().filter(move |peer| now >= peer.since + span)
     }
 
@@ -99,39 +99,41 @@
         self.nodes.get(&store.name).is_some_and(|peer| peer.is_live && peer.info.disk == Some(store.disk))
     }
 
-    /// Since when a node with this disk has been gone; none while it is there. One that was never seen has been gone
-    /// since `started`.
+    /// Since when a node with this disk has been gone; none while it is alive. A node that was never seen counts as
+    /// gone since `started`.
     pub(crate) fn gone_since(
         &self, name: &NodeName, disk: pewterseam_wire::identity::DiskId, started: Micros,
     ) -> Option<Micros> {
         self.absent_since(name, started, |peer| peer.is_live && peer.info.disk == Some(disk))
     }
 
-    /// The same of a node with whatever disk, or none.
+    /// Since when a node has been gone, with any disk or none; none while it is alive.
     pub(crate) fn node_gone_since(&self, name: &NodeName, started: Micros) -> Option<Micros> {
         self.absent_since(name, started, |peer| peer.is_live)
     }
 
     fn absent_since(
-        &self, name: &NodeName, started: Micros, is_there: impl Fn(&Peer) -> bool,
+        &self, name: &NodeName, started: Micros, is_present: impl Fn(&Peer) -> bool,
     ) -> Option<Micros> {
         match self.nodes.get(name) {
             None => Some(started),
-            Some(peer) if is_there(peer) => None,
+            Some(peer) if is_present(peer) => None,
             Some(peer) => Some(peer.since),
         }
     }
 
-    /// Whether a node came about when another went, or after: it stands in for that one. What was there when this
-    /// process started is not known to have come.
-    pub(crate) fn came_for(&self, name: &NodeName, gone_since: Micros, started: Micros) -> bool {
+    /// Whether a node appeared when another failed, or later, so that it can replace the failed one. A node that was
+    /// already there when this process started is not known to have appeared for this reason.
+    pub(crate) fn can_replace_node_gone_since(
+        &self, name: &NodeName, gone_since: Micros, started: Micros,
+    ) -> bool {
         let Some(peer) = self.nodes.get(name) else { return false };
-        let is_new = peer.first_seen > started + KNOWN_AFTER;
-        peer.is_live && is_new && peer.first_seen + BEFORE_DEATH > gone_since
+        let is_new = peer.first_seen > started + STARTUP_PERIOD;
+        peer.is_live && is_new && peer.first_seen + MAX_FAILURE_DETECTION_DELAY > gone_since
     }
 
     /// The live node at a peer address.
-    pub(crate) fn at(&self, address: SocketAddr) -> Option<&NodeName> {
+    pub(crate) fn live_at_address(&self, address: SocketAddr) -> Option<&NodeName> {
         self.live().find(|peer| peer.info.peer_address == address).map(|peer| &peer.info.name)
     }
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,4 +1,4 @@
-//! The durable part of a core member, and the committed state of any process.
+//! The durable state of a core member, and the committed state of any process.
 
 use std::collections::VecDeque;
 
@@ -12,44 +12,44 @@
 use crate::storage::{Promised, Record, Recovered, Snapshot, encode};
 use crate::transfer::PIECE_BYTES;
 
-/// Committed entries are kept for processes that are behind, up to so many bytes, or as many as the configuration has:
-/// with more, the whole state is the shorter way.
-const HISTORY_BYTES: usize = 256 * 1024;
+/// Committed entries are kept for processes that are behind, up to this many bytes or the size of the configuration,
+/// whichever is larger: beyond that, sending the complete state costs less.
+const MAX_HISTORY_BYTES: usize = 256 * 1024;
 
-/// A snapshot is written when the log is larger than this and than twice the state.
-const LOG_BYTES: usize = 512 * 1024;
+/// A snapshot is written when the log is larger than this and larger than twice the configuration text.
+const MIN_COMPACTION_LOG_BYTES: usize = 512 * 1024;
 
-/// What this process has promised, accepted and knows as committed.
+/// The epoch that this process has promised, and the states that it has accepted and knows to be committed.
 #[derive(Clone)]
 pub(crate) struct Replica {
     pub promised: Promised,
-    /// Not before `committed`.
+    /// Never older than `committed`.
     pub accepted: Agreed,
     pub committed: Agreed,
-    /// Entries from the committed state to the accepted one; empty where they are not all known.
-    tail: Vec<Entry>,
+    /// The entries from the committed state to the accepted one; empty if they are not all known.
+    uncommitted: Vec<Entry>,
     history: VecDeque<Entry>,
     history_bytes: usize,
     has_disk: bool,
-    /// The state that a replay of the log would lead to.
-    on_disk: Stamp,
+    /// The stamp of the state that a replay of the log would recover.
+    logged: Stamp,
     log_bytes: usize,
     sequence: u64,
     synced: u64,
-    /// Since when the disk has owed a sync without any progress.
+    /// Since when a sync has been outstanding without any progress of the disk.
     unsynced_since: Option<Micros>,
-    /// Messages that may go out once a sequence is synced.
-    waiting: VecDeque<(u64, NodeName, ControlMessage)>,
+    /// Messages that may be sent once the records up to a sequence are synced.
+    awaiting_sync: VecDeque<(u64, NodeName, ControlMessage)>,
 }
 
 impl Replica {
     pub(crate) fn new(has_disk: bool, recovered: Recovered) -> Self {
         Replica {
             promised: recovered.promised,
-            on_disk: recovered.accepted.stamp,
+            logged: recovered.accepted.stamp,
             accepted: recovered.accepted,
             committed: recovered.committed,
-            tail: Vec::new(),
+            uncommitted: Vec::new(),
             history: VecDeque::new(),
             history_bytes: 0,
             has_disk,
@@ -57,7 +57,7 @@
             sequence: 0,
             synced: 0,
             unsynced_since: None,
-            waiting: VecDeque::new(),
+            awaiting_sync: VecDeque::new(),
         }
     }
 
@@ -68,74 +68,75 @@
         effects.push(Effect::Persist { records: vec![bytes], sequence: self.sequence });
     }
 
-    /// Promises an epoch. The answer waits for the disk.
+    /// Promises an epoch. The answer must wait until the record is synced.
     pub(crate) fn promise(&mut self, epoch: u64, candidate: NodeName, effects: &mut Vec<Effect>) {
         self.promised = Promised { epoch, candidate: Some(candidate) };
         self.persist(&Record::Promised(self.promised.clone()), effects);
     }
 
-    /// Whether this epoch may be promised: each is promised once, to one life of one candidate. A name alone does not
-    /// tell two lives of a candidate apart, and the earlier one may have led the epoch.
-    pub(crate) fn may_promise(&self, epoch: u64) -> bool {
+    /// Whether this epoch may be promised. Each epoch is promised only once, to one process: after a restart a
+    /// candidate has the same name, and its earlier process may have led the epoch.
+    pub(crate) fn can_promise(&self, epoch: u64) -> bool {
         epoch > self.promised.epoch
     }
 
-    /// Accepts the state after an entry.
+    /// Accepts the state that results from an entry.
     pub(crate) fn accept(
         &mut self, entry: Entry, leader: &NodeName, effects: &mut Vec<Effect>,
     ) -> Result<(), ControlError> {
         let next = self.accepted.apply(&entry)?;
-        self.raise(entry.stamp.epoch, Some(leader));
+        self.raise_promise(entry.stamp.epoch, Some(leader));
         if self.has_disk {
-            if self.on_disk == entry.previous {
+            if self.logged == entry.previous {
                 self.persist(&Record::Entry(entry.clone()), effects);
             } else {
                 self.persist(&Record::State(next.clone()), effects);
             }
-            self.on_disk = next.stamp;
+            self.logged = next.stamp;
         }
-        if self.tail.is_empty() && entry.previous != self.committed.stamp {
-            // The way from the committed state is not known.
+        if self.uncommitted.is_empty() && entry.previous != self.committed.stamp {
+            // The entries from the committed state to this one are not known.
         } else {
-            self.tail.push(entry);
+            self.uncommitted.push(entry);
         }
         self.accepted = next;
         Ok(())
     }
 
-    /// Accepts a whole state. `epoch` is the leader's; one that is accepted already is made durable.
+    /// Accepts a complete state from the leader of `epoch`. A state that is accepted already is made durable.
     pub(crate) fn install(
         &mut self, agreed: Agreed, epoch: u64, leader: &NodeName, effects: &mut Vec<Effect>,
     ) {
-        self.raise(epoch, Some(leader));
-        self.hold(agreed, effects);
+        self.raise_promise(epoch, Some(leader));
+        self.set_accepted(agreed, effects);
     }
 
-    /// Holds a greater state that another process has accepted or knows to be committed, whoever leads.
+    /// Accepts a greater state that another process has accepted or knows to be committed, whoever leads.
     pub(crate) fn adopt(&mut self, agreed: Agreed, effects: &mut Vec<Effect>) {
-        self.raise(agreed.stamp.epoch, None);
-        self.hold(agreed, effects);
+        self.raise_promise(agreed.stamp.epoch, None);
+        self.set_accepted(agreed, effects);
     }
 
-    fn hold(&mut self, agreed: Agreed, effects: &mut Vec<Effect>) {
-        if self.has_disk && self.on_disk != agreed.stamp {
+    fn set_accepted(&mut self, agreed: Agreed, effects: &mut Vec<Effect>) {
+        if self.has_disk && self.logged != agreed.stamp {
             self.persist(&Record::State(agreed.clone()), effects);
-            self.on_disk = agreed.stamp;
+            self.logged = agreed.stamp;
         }
         if self.accepted.stamp != agreed.stamp {
-            self.tail.clear();
+            self.uncommitted.clear();
             self.accepted = agreed;
         }
     }
 
-    /// What is held of an epoch counts as its promise.
-    fn raise(&mut self, epoch: u64, leader: Option<&NodeName>) {
+    /// Raises the promised epoch: accepting a state of an epoch implies the promise of that epoch.
+    fn raise_promise(&mut self, epoch: u64, leader: Option<&NodeName>) {
         if epoch > self.promised.epoch {
             self.promised = Promised { epoch, candidate: leader.cloned() };
         }
     }
 
-    /// The state with this stamp is committed. Returns whether that is known here now.
+    /// Commits the accepted state if it has this stamp. Returns whether this process now knows the state of that index
+    /// to be committed.
     pub(crate) fn commit(&mut self, stamp: Stamp, effects: &mut Vec<Effect>) -> bool {
         if stamp.index <= self.committed.stamp.index {
             return true;
@@ -144,53 +145,56 @@
             return false;
         }
         self.committed = self.accepted.clone();
-        let tail = std::mem::take(&mut self.tail);
-        self.remember(tail);
-        self.note_committed(effects);
+        let uncommitted = std::mem::take(&mut self.uncommitted);
+        self.append_history(uncommitted);
+        self.record_committed(effects);
         true
     }
 
-    /// Learns a committed entry that follows the committed state.
+    /// Applies a committed entry that follows the committed state.
     pub(crate) fn learn(&mut self, entry: Entry, effects: &mut Vec<Effect>) -> Result<(), ControlError> {
         let next = self.committed.apply(&entry)?;
         self.committed = next;
         let record = Record::Entry(entry.clone());
-        self.remember(vec![entry]);
-        self.follow_committed(record, effects);
+        self.append_history(vec![entry]);
+        self.advance_accepted(record, effects);
         Ok(())
     }
 
-    /// Learns a later committed state.
+    /// Replaces the committed state by a later one.
     pub(crate) fn learn_state(&mut self, agreed: Agreed, effects: &mut Vec<Effect>) {
         self.committed = agreed;
         self.history.clear();
         self.history_bytes = 0;
         let record = Record::State(self.committed.clone());
-        self.follow_committed(record, effects);
+        self.advance_accepted(record, effects);
     }
 
-    /// What is committed may be taken as accepted where it is greater; it counts for nobody's majority. It is written
-    /// like all that is accepted, so that a promise, which waits for the disk, tells only of what is synced.
-    fn follow_committed(&mut self, record: Record, effects: &mut Vec<Effect>) {
+    /// Takes the committed state as accepted if it is greater. This does not count towards a majority. The state is
+    /// written to the log like every accepted state, so that a promise, which waits for the disk, refers only to
+    /// synced states.
+    fn advance_accepted(&mut self, record: Record, effects: &mut Vec<Effect>) {
         if self.committed.stamp >= self.accepted.stamp {
             self.accepted = self.committed.clone();
-            self.tail.clear();
-            self.raise(self.accepted.stamp.epoch, None);
+            self.uncommitted.clear();
+            self.raise_promise(self.accepted.stamp.epoch, None);
         }
-        if self.has_disk && self.on_disk < self.accepted.stamp {
-            let follows = matches!(&record, Record::Entry(entry) if entry.previous == self.on_disk);
+        if self.has_disk && self.logged < self.accepted.stamp {
+            let follows = matches!(&record, Record::Entry(entry) if entry.previous == self.logged);
             let whole = Record::State(self.accepted.clone());
             self.persist(if follows { &record } else { &whole }, effects);
-            self.on_disk = self.accepted.stamp;
+            self.logged = self.accepted.stamp;
         }
-        self.note_committed(effects);
+        self.record_committed(effects);
     }
 
-    fn note_committed(&mut self, effects: &mut Vec<Effect>) {
-        if self.has_disk && self.on_disk == self.committed.stamp {
+    fn record_committed(&mut self, effects: &mut Vec<Effect>) {
+        if self.has_disk && self.logged == self.committed.stamp {
             self.persist(&Record::Committed(self.committed.stamp), effects);
         }
-        if self.has_disk && self.log_bytes > LOG_BYTES.max(2 * self.committed.state.config.text.len()) {
+        if self.has_disk
+            && self.log_bytes > MIN_COMPACTION_LOG_BYTES.max(2 * self.committed.state.config.text.len())
+        {
             self.snapshot(effects);
         }
     }
@@ -201,12 +205,13 @@
             Snapshot { promised: self.promised.clone(), committed: self.committed.clone(), accepted };
         self.sequence += 1;
         self.log_bytes = 0;
-        self.on_disk = self.accepted.stamp;
+        self.logged = self.accepted.stamp;
         effects.push(Effect::Snapshot { snapshot: encode(&snapshot), sequence: self.sequence });
     }
 
-    /// Remembers committed entries; where some are missing in between, the older ones are of no use.
-    fn remember(&mut self, entries: Vec<Entry>) {
+    /// Keeps committed entries for processes that are behind. After a gap the older entries are useless and are
+    /// dropped.
+    fn append_history(&mut self, entries: Vec<Entry>) {
         let follows = match (self.history.back(), entries.first()) {
             (Some(last), Some(first)) => last.stamp == first.previous,
             (_, None) => false,
@@ -220,16 +225,17 @@
             self.history_bytes += entry.size();
             self.history.push_back(entry);
         }
-        let most_bytes = HISTORY_BYTES.max(self.committed.state.config.text.len());
-        while self.history_bytes > most_bytes && self.history.len() > 1 {
+        let max_bytes = MAX_HISTORY_BYTES.max(self.committed.state.config.text.len());
+        while self.history_bytes > max_bytes && self.history.len() > 1 {
             if let Some(entry) = self.history.pop_front() {
                 self.history_bytes -= entry.size();
             }
         }
     }
 
-    /// The first piece of the committed entries after a state. None where they are not all known, or where they are
-    /// longer than the configuration or the next one is longer than a piece: the whole state then comes in pieces.
+    /// The committed entries that follow a state, at most one piece of them. None if they are not all known, if they
+    /// are larger than the configuration together, or if the next one is larger than a piece: the complete state is
+    /// then sent in pieces.
     pub(crate) fn entries_after(&self, have: Stamp) -> Option<Vec<Entry>> {
         if have == self.committed.stamp {
             return Some(Vec::new());
@@ -237,8 +243,9 @@
         let behind = self.committed.stamp.index.checked_sub(have.index)?;
         let first = self.history.len().checked_sub(usize::try_from(behind).ok()?)?;
         let next = self.history.get(first).filter(|entry| entry.previous == have)?;
-        let in_all: usize = self.history.iter().skip(first).map(Entry::size).sum();
-        if next.size() > PIECE_BYTES || in_all > PIECE_BYTES.max(self.committed.state.config.text.len()) {
+        let total_bytes: usize = self.history.iter().skip(first).map(Entry::size).sum();
+        if next.size() > PIECE_BYTES || total_bytes > PIECE_BYTES.max(self.committed.state.config.text.len())
+        {
             return None;
         }
         let mut bytes = 0;
@@ -249,9 +256,9 @@
         Some(self.history.iter().skip(first).take_while(is_in_piece).cloned().collect())
     }
 
-    /// Sends a message once all that was given to the disk so far is synced.
+    /// Sends a message once all records given to the disk so far are synced.
     pub(crate) fn send_after_sync(&mut self, to: NodeName, message: ControlMessage) {
-        self.waiting.push_back((self.sequence, to, message));
+        self.awaiting_sync.push_back((self.sequence, to, message));
     }
 
     pub(crate) fn persisted(&mut self, sequence: u64) {
@@ -261,8 +268,8 @@
         }
     }
 
-    /// Notes since when the disk has owed a sync.
-    pub(crate) fn watch_disk(&mut self, now: Micros) {
+    /// Notes since when a sync has been outstanding.
+    pub(crate) fn track_outstanding_sync(&mut self, now: Micros) {
         if self.synced >= self.sequence {
             self.unsynced_since = None;
         } else {
@@ -270,17 +277,17 @@
         }
     }
 
-    /// Whether the disk has synced nothing of what it owes for so long.
-    pub(crate) fn is_disk_stalled(&self, now: Micros, within: Micros) -> bool {
-        self.unsynced_since.is_some_and(|since| now >= since + within)
+    /// Whether an outstanding sync has made no progress for this long.
+    pub(crate) fn is_disk_stalled(&self, now: Micros, timeout: Micros) -> bool {
+        self.unsynced_since.is_some_and(|since| now >= since + timeout)
     }
 
-    /// The next message whose records are synced.
+    /// The next message whose records are synced; removes it from the queue.
     pub(crate) fn next_synced(&mut self) -> Option<(NodeName, ControlMessage)> {
-        let (sequence, _, _) = self.waiting.front()?;
+        let (sequence, _, _) = self.awaiting_sync.front()?;
         if *sequence > self.synced {
             return None;
         }
-        self.waiting.pop_front().map(|(_, to, message)| (to, message))
+        self.awaiting_sync.pop_front().map(|(_, to, message)| (to, message))
     }
 }
--- a/crates/control/src/serving.rs
+++ b/crates/control/src/serving.rs
@@ -1,24 +1,26 @@
-//! Whether a relay serves clients, as far as its contact with the core goes.
+//! Whether a relay serves clients, judged by its contact with the core.
 
 use pewterseam_wire::Micros;
 
 use crate::contact::Contact;
 
-/// Goes by contact with the core and by how many of the others are there.
+/// Decides from the contact with the core and from how many other processes are reachable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Serving {
-    /// Others that were there when this process was last in touch.
+    /// The number of other processes that were alive when this process last had contact.
     others_in_touch: usize,
     serves: bool,
 }
 
 impl Serving {
-    /// Until when the relay serves, if nothing changes; none if it does not. `span` is how long this holds without contact.
+    /// The time until which the relay serves if nothing changes; none if it does not serve. `span` is how long a
+    /// decision without contact holds.
     ///
-    /// A relay that is in touch serves. One that has lost contact goes on where most of the others are still there: then
-    /// the core is out for all, and clients are better served by the configuration in force than by nobody. Where most of
-    /// the others are gone it is this relay that was cut off, and it leaves clients to them. Back in contact, it serves
-    /// once it knows the newest state.
+    /// A relay in contact with the core serves. A relay that has lost contact keeps serving while most of the other
+    /// processes are still alive: the core is then unavailable to all of them, and serving with the configuration in
+    /// force is better for clients than no service. If most of the other processes are gone, this relay is the one
+    /// that was cut off, and it leaves clients to the others. Once contact is restored, the relay serves again when it
+    /// knows the newest state.
     pub fn until(&mut self, now: Micros, contact: Contact, others: usize, span: Micros) -> Option<Micros> {
         let until = match contact {
             Contact::InTouch { until } => {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! The times and numbers of control.
+//! Settings of the control state machine.
 
 use std::net::SocketAddr;
 
@@ -7,52 +7,56 @@
 
 const MILLISECOND: Micros = 1_000;
 
-/// Settings of one process.
+/// The control settings of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlSettings {
-    /// The first start of the whole system: the seeds form the core.
+    /// Whether this is the first start of the whole system, in which the seeds form the core.
     pub bootstrap: bool,
-    /// The peer addresses of the seeds, as membership gives them.
+    /// The peer addresses of the seeds, as membership reports them.
     pub seeds: Vec<SocketAddr>,
-    /// `f`: machines that may be lost at one time.
+    /// `f`: the number of machines that may be lost at one time.
     pub tolerated: u16,
-    /// How copies are spread over zones from the first placement on.
+    /// How copies are spread over zones, from the first placement on.
     pub copy_spread: CopySpread,
-    /// Between two heartbeats of a leader.
+    /// The interval between two heartbeats of a leader.
     pub heartbeat: Micros,
-    /// A leader that no majority has answered for so long steps down; members that hear no leader for so long elect.
+    /// A leader that no majority has answered for this long steps down; members that hear from no leader for this long
+    /// start an election.
     pub leader_timeout: Micros,
-    /// A disk that owes a sync and has done none for so long is stalled: its member leads no longer, and does not stand.
+    /// A disk that has an outstanding sync and has synced nothing for this long is stalled: its member stops leading
+    /// and does not become a candidate.
     pub disk_timeout: Micros,
-    /// Each earlier live member in the order of candidates delays an election by this.
+    /// The additional election delay for each live member that precedes this one in the order of candidates.
     pub candidate_step: Micros,
-    /// So long a candidate waits for promises.
+    /// How long a candidate waits for promises.
     pub attempt: Micros,
-    /// Between two sendings of what was not answered.
+    /// The interval after which an unanswered message is sent again.
     pub resend: Micros,
-    /// Whether the core agrees on the relays that may hand out permits of limited services.
+    /// Whether the core agrees on the list of relays that may grant permits of limited services.
     pub agrees_on_homes: bool,
-    /// Between two looks at what the leader has to change.
+    /// The interval at which the leader checks whether a change of core, placement or homes is due.
     pub housekeeping: Micros,
-    /// From the start to the first attempt to form the core.
+    /// The time from the start to the first attempt to form the core.
     pub formation_delay: Micros,
-    /// A relay gives an operator's call up after this, and a millisecond more for each kilobyte of its body.
+    /// The timeout of an operator's call at a relay; it grows by a millisecond for each kilobyte of the call's body.
     pub call_timeout: Micros,
-    /// A process that no majority of the core answers for longer than this is out of touch (`contactMs`).
+    /// A process that no majority of the core has answered for longer than this has lost contact (`contactMs`).
     pub contact: Micros,
-    /// So long a dead member or store is kept where nothing replaces it.
+    /// How long a dead member or store is kept if nothing replaces it.
     pub abandon_after: Micros,
-    /// So long a core member must be dead before its place is given up or given to another.
+    /// How long a core member must be dead before it is removed or replaced.
     pub replace_member_after: Micros,
-    /// A node must have been there for so long before it makes a whole core larger: longer than a death goes unnoticed.
+    /// How long a node must have been alive before it is added to a core without losses. This must be longer than a
+    /// failure can go unnoticed.
     pub grow_after: Micros,
-    /// So long a store of the same zone must be dead before a new store replaces it.
+    /// How long a store must be dead before a new store of the same zone replaces it.
     pub replace_after: Micros,
-    /// A new store or core member must have been there for so long.
+    /// How long a new store or core member must have been alive before it is used.
     pub settle: Micros,
-    /// The first placement waits this long after the last store came, if there are enough.
+    /// How long the set of stores must be unchanged before the first placement, if there are enough stores.
     pub first_placement: Micros,
-    /// The same with fewer stores than tolerance asks for.
+    /// How long the set of stores must be unchanged before the first placement, with fewer stores than the tolerance
+    /// requires.
     pub short_placement: Micros,
 }
 
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -1,9 +1,10 @@
 //! How a committed entry reaches the processes outside the core.
 //!
-//! A short entry goes from the leader to each of them. A long one is passed on along a tree, so that no link carries more
-//! than a few copies: a leader whose link is full of one entry is heard by nobody, and counts as dead. The tree runs
-//! through one process of each zone, then through the processes of that zone. Who is left out, as the process above it
-//! is gone, hears of the index through membership or its lease, and fetches.
+//! The leader sends a small entry to each of them. A large entry is forwarded along a tree, so that no link carries
+//! more than a few copies: if one entry saturated the leader's link, no heartbeat would get through and the leader
+//! would count as dead. The tree runs through one process of each zone, then through the other processes of that zone.
+//! A process that gets no copy because its parent in the tree is gone learns of the index through membership or its
+//! lease, and fetches the entry.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,28 +16,29 @@
 use crate::message::ControlMessage;
 use crate::transfer::PIECE_BYTES;
 
-/// Bytes of one entry that a process sends at once, all copies together, without help by others.
-const DIRECT_BYTES: usize = 64 * 1024;
+/// The maximum bytes that a process sends of one entry, all copies together, before it uses the tree.
+const MAX_DIRECT_BYTES: usize = 64 * 1024;
 
-/// Copies of a long entry that a process sends within its zone.
+/// The number of copies of a large entry that a process sends within its zone.
 const FAN_OUT: usize = 4;
 
 impl Control {
-    /// Tells all processes outside the core.
-    pub(crate) fn spread_commit(&mut self, entry: &Entry) {
+    /// Sends a committed entry to all processes outside the core.
+    pub(crate) fn distribute_commit(&mut self, entry: &Entry) {
         let core = &self.replica.committed.core;
         let is_core = |name: &NodeName| core.voters().any(|member| member.name == *name);
         let names = self.peers.live().map(|peer| &peer.info.name);
         let is_other = |name: &&NodeName| **name != self.name && !is_core(name);
         let mut others: Vec<NodeName> = names.filter(is_other).cloned().collect();
-        // Another process of each zone is the first one with each entry.
-        let from = (entry.stamp.index as usize).checked_rem(others.len()).unwrap_or(0);
-        others.rotate_left(from);
-        self.spread(entry, &self.name.clone(), others);
+        // With each entry another process of each zone comes first, so that the forwarding load rotates.
+        let first = (entry.stamp.index as usize).checked_rem(others.len()).unwrap_or(0);
+        others.rotate_left(first);
+        self.distribute(entry, &self.name.clone(), others);
     }
 
-    /// Tells all others of a long entry before anything of it is sent. Word of an entry travels faster than a long one:
-    /// whoever hears of its index elsewhere would ask for it meanwhile.
+    /// Announces a large entry to all other processes before any part of it is sent. News of its index travels faster
+    /// than a large entry, so a process that learns of the index elsewhere would otherwise request the entry in the
+    /// meantime.
     pub(crate) fn announce(&mut self, entry: &Entry) {
         if entry.size() <= PIECE_BYTES {
             return;
@@ -49,19 +51,21 @@
         }
     }
 
-    /// An entry was passed on to this process.
-    pub(crate) fn pushed(&mut self, from: &NodeName, entry: Entry, leader: NodeName, others: Vec<NodeName>) {
-        self.spread(&entry, &leader, others);
+    /// Handles a committed entry that was pushed to this process.
+    pub(crate) fn receive_push(
+        &mut self, from: &NodeName, entry: Entry, leader: NodeName, others: Vec<NodeName>,
+    ) {
+        self.distribute(&entry, &leader, others);
         self.leader_hint = Some(leader);
         let index = entry.stamp.index;
         if index > self.replica.committed.stamp.index && self.replica.learn(entry, &mut self.effects).is_err()
         {
-            self.heard_of_index(index, from.clone());
+            self.note_known_index(index, from.clone());
         }
     }
 
-    /// Sends an entry to some of the receivers, which send it to the others.
-    fn spread(&mut self, entry: &Entry, leader: &NodeName, receivers: Vec<NodeName>) {
+    /// Sends an entry to some of the receivers, which forward it to the others.
+    fn distribute(&mut self, entry: &Entry, leader: &NodeName, receivers: Vec<NodeName>) {
         for mut branch in self.branches(entry, receivers) {
             let others = branch.split_off(1);
             for to in branch {
@@ -71,13 +75,14 @@
         }
     }
 
-    /// The parts of the tree below this process, none of them empty. The first of each is sent the entry.
+    /// The branches of the tree below this process, none of them empty. The entry is sent to the first process of each
+    /// branch, which forwards it to the others.
     fn branches(&self, entry: &Entry, mut receivers: Vec<NodeName>) -> Vec<Vec<NodeName>> {
         let copies = receivers.len();
-        if copies * entry.size() <= DIRECT_BYTES || copies <= FAN_OUT {
+        if copies * entry.size() <= MAX_DIRECT_BYTES || copies <= FAN_OUT {
             return receivers.into_iter().map(|name| vec![name]).collect();
         }
-        receivers.sort_by_key(|name| self.rank(name));
+        receivers.sort_by_key(|name| self.forwarding_order(name));
         let mut zones: BTreeMap<Option<Arc<str>>, Vec<NodeName>> = BTreeMap::new();
         for name in &receivers {
             let zone = self.peers.get(name).map(|peer| peer.info.zone.clone());
@@ -87,15 +92,16 @@
             return zones.into_values().collect();
         }
         let mut branches = vec![Vec::new(); FAN_OUT];
-        for (place, name) in receivers.into_iter().enumerate() {
-            branches[place % FAN_OUT].push(name);
+        for (position, name) in receivers.into_iter().enumerate() {
+            branches[position % FAN_OUT].push(name);
         }
         branches
     }
 
-    /// Who passes entries on before others: one that is known to be gone passes nothing on, and the link of a store's
-    /// machine is made for the bodies of several relays, while clients wait behind that of a relay.
-    fn rank(&self, name: &NodeName) -> u8 {
+    /// Orders processes by their suitability for forwarding. The link of a store's machine is sized for the message
+    /// bodies of several relays, whereas clients wait for the link of a relay. A process that is known to be gone
+    /// comes last, since it forwards nothing.
+    fn forwarding_order(&self, name: &NodeName) -> u8 {
         match self.peers.get(name).filter(|peer| peer.is_live) {
             Some(peer) if peer.info.role == Role::Store => 0,
             Some(_) => 1,
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -1,4 +1,4 @@
-//! Records of control on the disk.
+//! The control log's records on disk.
 
 use bytes::Bytes;
 use pewterseam_wire::frame;
@@ -9,7 +9,8 @@
 use crate::effect::ControlError;
 use crate::entry::{Entry, Stamp};
 
-/// The highest epoch that was promised, and to whom. An epoch is promised once: who asked is kept for those who read logs.
+/// The highest epoch that was promised, and the candidate that it was promised to. An epoch is promised only once; the
+/// candidate is stored only for people who read logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Promised {
     pub epoch: u64,
@@ -24,26 +25,27 @@
     Entry(Entry),
     /// This state was accepted.
     State(Agreed),
-    /// The state with this stamp is known to be committed. Written without need, for a restart without a core.
+    /// The state with this stamp is known to be committed. Not needed for safety; it gives the committed state after a
+    /// restart without contact with the core.
     Committed(Stamp),
 }
 
-/// What replaces the log.
+/// A snapshot that replaces the log.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Snapshot {
     pub promised: Promised,
     pub committed: Agreed,
-    /// None: the committed one.
+    /// None if it is the committed state.
     pub accepted: Option<Agreed>,
 }
 
-/// What a log holds.
+/// The state recovered from a log.
 #[derive(Default)]
 pub(crate) struct Recovered {
     pub promised: Promised,
     pub accepted: Agreed,
     pub committed: Agreed,
-    /// Bytes of the records after the snapshot.
+    /// Bytes of the log records after the snapshot.
     pub log_bytes: usize,
 }
 
@@ -52,7 +54,7 @@
     frame::encode(value).map(Bytes::from).unwrap_or_default()
 }
 
-/// Replays a log.
+/// Recovers the state from a snapshot and the log records after it.
 pub(crate) fn recover(snapshot: Option<&[u8]>, records: &[Bytes]) -> Result<Recovered, ControlError> {
     let snapshot: Snapshot = match snapshot {
         Some(bytes) => frame::decode(bytes).map_err(ControlError::Record)?,
