--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -73,7 +73,7 @@
         self.next_heartbeat.min(self.next_housekeeping).min(resend_at)
     }
 
-    /// Whether a majority of the core answered timeout this time.
+    /// Whether a majority of the core answered within this time.
     pub(crate) fn has_majority(&self, accepted: &Agreed, now: Micros, timeout: Micros) -> bool {
         let recent = self.answers.iter().filter(|(_, answered)| now < answered.at + timeout);
         accepted.core.is_majority(recent.map(|(member, _)| member))
@@ -84,7 +84,7 @@
         accepted.core.majority_value(|member| self.answers.get(member).map_or(0, |answered| answered.round))
     }
 
-    /// Whether a node answered timeout this time and knows this index.
+    /// Whether a node answered within this time and knows this index.
     pub(crate) fn is_caught_up(&self, member: &CoreMember, index: u64, now: Micros, timeout: Micros) -> bool {
         self.answers
             .get(member)
--- a/crates/control/tests/control/catch_up.rs
+++ b/crates/control/tests/control/catch_up.rs
@@ -1,4 +1,4 @@
-//! Processes that are far behind: how long they take, what it costs, and that it ends.
+//! Processes that are far behind: how long they take to catch up, how many bytes that costs, and that it ends.
 
 use bytes::Bytes;
 use pewterseam_control::{OperatorRequest, Outcome};
@@ -6,7 +6,7 @@
 use crate::contact::{Direction, cut};
 use crate::simulation::cluster::{Cluster, MS};
 use crate::simulation::routes::{configuration, route};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 
 const SECOND: u64 = 1_000 * MS;
 
@@ -14,9 +14,9 @@
 const SLOW_LINK: u64 = 30_000_000 / 8;
 
 /// `catchUpS` of a small site.
-const CATCH_UP: u64 = 4_400 * MS;
+const MAX_CATCH_UP_TIME: u64 = 4_400 * MS;
 
-/// A cluster with three core members, two relays without a disk and three stores, and changes.
+/// A cluster with three core members, two relays without a disk and three stores, and the changes made in it.
 struct Changing {
     cluster: Cluster,
     version: u64,
@@ -27,7 +27,7 @@
 
 impl Changing {
     fn new(seed: u64, configuration: Bytes) -> Self {
-        let mut changing = Changing { cluster: formed(seed, CORE, 2, 3), version: 0, relay: CORE };
+        let mut changing = Changing { cluster: formed_cluster(seed, CORE, 2, 3), version: 0, relay: CORE };
         let accepted = call(&mut changing.cluster, CORE, 1, OperatorRequest::put(0, configuration));
         assert_eq!(accepted, Some(Outcome::Accepted { version: 1 }));
         changing.version = 1;
@@ -35,7 +35,7 @@
         changing
     }
 
-    /// Changes one route after another. An order is sent again until it is taken.
+    /// Changes one route after another. Each order is sent again until it is accepted.
     fn change(&mut self, times: u64) {
         for _ in 0..times {
             let version = self.version + 1;
@@ -46,13 +46,14 @@
                 let outcome = call(&mut self.cluster, self.relay, version, request.clone());
                 matches!(outcome, Some(Outcome::Accepted { .. }))
             });
-            assert!(taken, "version {version} was not taken");
+            assert!(taken, "version {version} was not accepted");
             self.version = version;
         }
     }
 
-    /// Runs until these nodes know this version, changing on every `pause` where there is one. Returns the time.
-    fn reach(&mut self, nodes: &[usize], version: u64, most: u64, pause: Option<u64>) -> u64 {
+    /// Runs until these nodes know this version, and makes another change every `pause` if there is one. Returns the
+    /// time.
+    fn run_until_known(&mut self, nodes: &[usize], version: u64, most: u64, pause: Option<u64>) -> u64 {
         let start = self.cluster.now;
         let mut next = start;
         while self.cluster.now < start + most {
@@ -76,21 +77,22 @@
         most
     }
 
-    fn whole(&mut self) {
+    fn assert_no_violations(&mut self) {
         self.cluster.checks.finish();
-        assert_eq!(self.cluster.checks.broken, Vec::<String>::new());
+        assert_eq!(self.cluster.checks.violations, Vec::<String>::new());
     }
 }
 
-/// An order that was taken, as the state remembers it: its digest, 32 bytes as four integers, and its version.
+/// The bytes of a remembered change in the state: its digest, 32 bytes as four integers, and its version.
 const REMEMBERED_BYTES: usize = 42;
-/// What may be sent to a process that catches up, in percent of what it lacks.
-const MOST_PERCENT: usize = 120;
-/// So many are remembered.
+/// The maximum bytes sent to a process that catches up, in percent of what it lacks.
+const MAX_PERCENT: usize = 120;
+/// The number of changes that the state remembers.
 const REMEMBERED_CHANGES: u64 = 1_000;
 
-/// Guards against whole states that never arrive, or that cost the link again with each repeat: 5,000 routes, 30 Mbit/s,
-/// one of ten pieces of 32 KB lost, five processes behind that start one by one, and a leader that goes on changing.
+/// Guards against transfers of complete states that never end, or that send everything again with each repeat: 5,000
+/// routes, 30 Mbit/s, one of ten pieces of 32 KB lost, five processes behind that start one by one, and a leader that
+/// keeps committing changes.
 #[test]
 fn a_whole_state_arrives_over_a_slow_and_lossy_link() {
     for seed in 0..4 {
@@ -101,7 +103,7 @@
         }
         changing.change(10);
         for node in 0..2 {
-            // Nobody has a history that reaches back.
+            // No process has a history that reaches back far enough.
             changing.cluster.kill(node);
             changing.cluster.start_after(node, 0);
         }
@@ -115,7 +117,7 @@
         }
         changing.cluster.run(100 * MS);
         let version = changing.version;
-        let time = changing.reach(&behind, version, 60 * SECOND, Some(300 * MS));
+        let time = changing.run_until_known(&behind, version, 60 * SECOND, Some(300 * MS));
         let state = changing.cluster.control(0).expect("runs").state().config.text.len();
         let received: Vec<usize> = behind.map(|node| changing.cluster.received[&node]).to_vec();
         println!("seed {seed}: {} ms, {received:?} bytes for a state of {state}", time / MS);
@@ -125,11 +127,11 @@
         }
         changing.cluster.loss_percent = 0;
         changing.cluster.run(2 * SECOND);
-        changing.whole();
+        changing.assert_no_violations();
     }
 }
 
-/// Measures how long a member, and a process without a disk, take to catch up, and what it costs.
+/// Measures how long a member, and a process without a disk, take to catch up, and how many bytes that costs.
 fn catch_up(configuration: &Bytes, name: &str, changes: u64) {
     let mut changing = Changing::new(changes, configuration.clone());
     let behind = [2, 4];
@@ -144,7 +146,7 @@
         changing.cluster.start_after(node, 0);
     }
     let version = changing.version;
-    let time = changing.reach(&behind, version, 30 * SECOND, None);
+    let time = changing.run_until_known(&behind, version, 30 * SECOND, None);
     let state = changing.cluster.control(0).expect("runs").state().config.text.len();
     let received = behind.map(|node| changing.cluster.received[&node]);
     let repeated = behind.map(|node| changing.cluster.repeats.to(node));
@@ -154,22 +156,23 @@
         received[0],
         received[1]
     );
-    assert!(time < CATCH_UP, "{name}, {changes} changes: {} ms", time / MS);
+    assert!(time < MAX_CATCH_UP_TIME, "{name}, {changes} changes: {} ms", time / MS);
     for (bytes, repeated) in received.into_iter().zip(repeated) {
-        // At most the state with the orders that it remembers, or entries as long as it, and what is told in any case.
+        // The bound is the state with the changes that it remembers, or entries of the same size, plus the messages
+        // that are sent in any case.
         let remembered = REMEMBERED_BYTES * changes.min(REMEMBERED_CHANGES) as usize;
-        let most = (state + remembered) * MOST_PERCENT / 100 + 16 * 1024;
+        let most = (state + remembered) * MAX_PERCENT / 100 + 16 * 1024;
         assert!(bytes < most, "{name}, {changes} changes: {bytes} bytes");
         let once = bytes - repeated;
         assert!(
-            bytes * 100 <= once * MOST_PERCENT,
+            bytes * 100 <= once * MAX_PERCENT,
             "{name}, {changes} changes: {repeated} of {bytes} bytes again"
         );
     }
-    changing.whole();
+    changing.assert_no_violations();
 }
 
-/// Guards against processes that take longer, or cost more, the more changes they slept through.
+/// Guards against processes that take ever longer, or cost ever more bytes, the more changes they have missed.
 #[test]
 fn catching_up_is_bounded_in_time_and_bytes() {
     for changes in [10, 100, 300, 1_000, 5_000] {
@@ -185,14 +188,14 @@
 }
 
 /// `configApplyMs` of a small site.
-const APPLIED_WITHIN: u64 = 3_000 * MS;
+const MAX_APPLY_TIME: u64 = 3_000 * MS;
 
-/// What a cut does to the links of a machine.
+/// The directions in which a machine is cut off.
 const DIRECTIONS: [Direction; 3] = [Direction::Both, Direction::Out, Direction::In];
 
-/// Guards against a machine that is back and goes by an older configuration, as it waits out the pause of a question that it
-/// asked in vain during the cut. Cuts of all lengths, of all machines; changes right before, in and right at the end of
-/// them, and another cut before.
+/// Guards against a reconnected machine that stays on an older configuration because it waits out the timeout of a
+/// request that was lost during the cut. Covers cuts of all lengths and of all machines, with changes right before,
+/// during and at the end of them, and an earlier cut.
 #[test]
 fn the_newest_version_is_known_soon_after_a_cut() {
     let mut longest = (0, 0);
@@ -220,11 +223,11 @@
             }
         }
         let version = changing.version;
-        let time = changing.reach(&[node], version, 10 * SECOND, None);
+        let time = changing.run_until_known(&[node], version, 10 * SECOND, None);
         longest = longest.max((time, seed));
         changing.cluster.run(SECOND);
-        changing.whole();
+        changing.assert_no_violations();
     }
     println!("longest: {} ms at seed {}", longest.0 / MS, longest.1);
-    assert!(longest.0 < APPLIED_WITHIN, "seed {}: {} ms", longest.1, longest.0 / MS);
+    assert!(longest.0 < MAX_APPLY_TIME, "seed {}: {} ms", longest.1, longest.0 / MS);
 }
--- a/crates/control/tests/control/changes.rs
+++ b/crates/control/tests/control/changes.rs
@@ -1,8 +1,8 @@
-//! The core and the stores change: disks are lost, machines are replaced, stores are retired.
+//! Changes of the core and of the stores: disks are lost, machines are replaced, stores are retired.
 
 use crate::simulation::cluster::{Cluster, MS, document};
 use crate::simulation::routes::{configuration, route};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 use pewterseam_control::{Contact, OperatorRequest, Outcome};
 use pewterseam_wire::identity::{NodeName, Role};
 
@@ -21,16 +21,16 @@
     names
 }
 
-fn assert_whole(cluster: &mut Cluster) {
+fn assert_no_violations(cluster: &mut Cluster) {
     cluster.checks.finish();
-    assert_eq!(cluster.checks.broken, Vec::<String>::new());
+    assert_eq!(cluster.checks.violations, Vec::<String>::new());
 }
 
-/// Guards against a member whose disk was lost and that votes on empty memory, or is never admitted again.
+/// Guards against a member that votes although its disk was lost, and against one that is never admitted again.
 #[test]
-fn a_member_with_a_lost_disk_is_admitted_anew() {
+fn a_member_with_a_lost_disk_is_admitted_again() {
     for seed in 0..20 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         let accepted = call(&mut cluster, 4, 1, OperatorRequest::put(0, document(5, "kept")));
         assert_eq!(accepted, Some(Outcome::Accepted { version: 5 }));
         let victim = (seed % 3) as usize;
@@ -41,7 +41,7 @@
         let control = cluster.control((victim + 1) % 3).expect("runs");
         assert_eq!(control.core().len(), 3, "seed {seed}");
         assert!(control.core().iter().any(|member| Some(member.disk) == disk), "seed {seed}");
-        // A second disk may be lost now.
+        // A second disk may be lost by then.
         let second = (victim + 1) % 3;
         cluster.lose_disk(second);
         cluster.start_after(second, 1_000 * MS);
@@ -50,15 +50,15 @@
             panic!("seed {seed}: no configuration")
         };
         assert_eq!(config.version, 5, "seed {seed}");
-        assert_whole(&mut cluster);
+        assert_no_violations(&mut cluster);
     }
 }
 
-/// Guards against a core that cannot be renewed: half of it is replaced by other machines, one by one.
+/// Guards against a core whose members cannot be replaced: half of it is replaced by other machines, one by one.
 #[test]
 fn half_of_the_core_is_replaced() {
     for seed in 0..10 {
-        let mut cluster = formed(seed, 4, 2, 3);
+        let mut cluster = formed_cluster(seed, 4, 2, 3);
         call(&mut cluster, 4, 1, OperatorRequest::put(0, document(5, "kept")));
         for gone in [1, 0] {
             cluster.kill(gone);
@@ -67,7 +67,7 @@
             cluster.run(10_000 * MS);
         }
         assert_eq!(core_names(&cluster, 2), ["node-10", "node-2", "node-3", "node-9"], "seed {seed}");
-        // The machines that are left of the first core go as well, one of them at a time.
+        // The remaining machines of the first core are replaced as well, one at a time.
         cluster.kill(2);
         let accepted = call(&mut cluster, 4, 2, OperatorRequest::put(5, document(6, "after")));
         assert!(
@@ -77,14 +77,14 @@
         cluster.run(4_000 * MS);
         let accepted = call(&mut cluster, 4, 3, OperatorRequest::put(5, document(6, "after")));
         assert_eq!(accepted, Some(Outcome::Accepted { version: 6 }), "seed {seed}");
-        assert_whole(&mut cluster);
+        assert_no_violations(&mut cluster);
     }
 }
 
-/// Guards against stores that are retired too early, never, or below what tolerance needs.
+/// Guards against stores that are retired too early, never, or below the number that the tolerance requires.
 #[test]
 fn stores_are_retired() {
-    let mut cluster = formed(5, 3, 2, 4);
+    let mut cluster = formed_cluster(5, 3, 2, 4);
     let store = |index: usize| NodeName::new(&format!("node-{index}"));
     let retire = |index: usize| OperatorRequest::Retire { node: store(index) };
     let read = |index: usize| OperatorRequest::ReadRetire { node: store(index) };
@@ -98,17 +98,18 @@
     assert_eq!(call(&mut cluster, 4, 7, read(5)), Some(Outcome::RetireState { completed: true }));
     assert_eq!(call(&mut cluster, 2, 8, retire(5)), Some(Outcome::Retiring));
     assert_eq!(store_names(&cluster, 0), ["node-6", "node-7", "node-8"]);
-    // The machine is removed; it must not be placed again meanwhile, nor held as missing.
+    // The machine is removed; it must neither be placed again meanwhile nor count as missing.
     cluster.kill(5);
     cluster.run(5_000 * MS);
     assert_eq!(store_names(&cluster, 4), ["node-6", "node-7", "node-8"]);
 }
 
-/// Guards against a lost store that is not replaced, whether its disk was lost or another machine came.
+/// Guards against a lost store that is not replaced, whether only its disk was lost or another machine takes its
+/// place.
 #[test]
 fn lost_stores_are_replaced() {
     for seed in 0..10 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         cluster.lose_disk(6);
         let disk = cluster.nodes[6].info.disk;
         cluster.start_after(6, 700 * MS);
@@ -116,7 +117,7 @@
         let sets = cluster.control(0).expect("runs").state().placement.sets.clone();
         assert_eq!((sets.len(), sets[0].len()), (1, 3), "seed {seed}");
         assert!(sets[0].iter().any(|store| Some(store.id.disk) == disk), "seed {seed}");
-        // Another machine of the same zone comes for a dead one.
+        // Another machine of the same zone replaces a dead one.
         cluster.kill(5);
         let spare = cluster.add(Role::Store, true);
         assert_eq!(cluster.nodes[spare].info.zone, cluster.nodes[5].info.zone);
@@ -126,10 +127,10 @@
     }
 }
 
-/// Guards against a store that is thrown out because it was down for a moment.
+/// Guards against removing a store that was down for a moment.
 #[test]
-fn a_store_that_comes_back_stays() {
-    let mut cluster = formed(5, 3, 2, 3);
+fn a_store_that_restarts_stays_placed() {
+    let mut cluster = formed_cluster(5, 3, 2, 3);
     let epoch = cluster.control(0).expect("runs").state().placement.epoch;
     cluster.kill(6);
     cluster.start_after(6, 6_000 * MS);
@@ -139,9 +140,9 @@
 
 /// Guards against a system that is not ready after all processes were killed, or that serves an older state.
 #[test]
-fn everything_comes_back_with_what_was_acknowledged() {
+fn acknowledged_changes_survive_a_restart_of_all_processes() {
     for seed in 0..30 {
-        let mut cluster = formed(seed, 4, 2, 3);
+        let mut cluster = formed_cluster(seed, 4, 2, 3);
         let mut based_on = 0;
         for version in 1..6 {
             let accepted =
@@ -164,15 +165,16 @@
             assert!(control.is_current(cluster.now), "seed {seed}: node {node}");
             assert_eq!(control.state().config.version, 5, "seed {seed}: node {node}");
         }
-        assert_whole(&mut cluster);
+        assert_no_violations(&mut cluster);
     }
 }
 
-/// Guards against a lone member that takes its own disk for the newest, however many changes it slept through; and
-/// against two of three that do not serve. After an end of all processes a majority of the core is enough, and needed.
+/// Guards against a single member that takes the state on its disk for the newest one, however many changes it has
+/// missed, and against two of three members that do not serve. After a restart of all processes a majority of the core
+/// is sufficient and necessary.
 #[test]
-fn a_lone_member_does_not_go_by_its_disk() {
-    let mut cluster = formed(5, 3, 2, 3);
+fn a_single_member_does_not_serve_its_own_state() {
+    let mut cluster = formed_cluster(5, 3, 2, 3);
     call(&mut cluster, 3, 1, OperatorRequest::put(0, document(5, "kept")));
     cluster.kill(1);
     call(&mut cluster, 3, 2, OperatorRequest::put(5, document(6, "slept through")));
@@ -197,7 +199,7 @@
 /// Guards against logs that grow without bound, and snapshots that cannot be read.
 #[test]
 fn logs_are_replaced_by_snapshots() {
-    let mut cluster = formed(5, 3, 2, 3);
+    let mut cluster = formed_cluster(5, 3, 2, 3);
     let note = "n".repeat(40_000);
     let mut based_on = 0;
     for version in 1..60 {
@@ -218,13 +220,14 @@
     }
     cluster.run(3_000 * MS);
     assert_eq!(cluster.control(0).expect("runs").state().config.version, 59);
-    assert_whole(&mut cluster);
+    assert_no_violations(&mut cluster);
 }
 
-/// Guards against large configurations that travel whole with every change, or are in force wrongly after it.
+/// Guards against sending a large configuration completely with every change, and against a wrong configuration after
+/// a change.
 #[test]
-fn changes_of_large_configurations_travel_as_changes() {
-    let mut cluster = formed(5, 4, 4, 3);
+fn large_configurations_are_not_resent_for_each_change() {
+    let mut cluster = formed_cluster(5, 4, 4, 3);
     let accepted = call(&mut cluster, 5, 1, OperatorRequest::put(0, configuration(5_000)));
     assert_eq!(accepted, Some(Outcome::Accepted { version: 1 }));
     cluster.run(1_000 * MS);
--- a/crates/control/tests/control/cluster.rs
+++ b/crates/control/tests/control/cluster.rs
@@ -1,27 +1,29 @@
-//! Whole clusters: formation, changes, failover, and random trouble.
+//! Complete clusters: formation, changes, failover, and random faults.
 
 use std::collections::BTreeSet;
 
-use crate::simulation::cluster::{MS, Planted, document, patch};
+use crate::simulation::cluster::{InjectedBug, MS, document, patch};
 use crate::simulation::faults::Faults;
 use crate::simulation::history::check;
 use crate::simulation::operators::{Operator, run};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 use pewterseam_control::{OperatorRequest, Outcome, Token};
 use pewterseam_wire::identity::Role;
 
-/// Random runs, and how many run side by side. Overridden by CONTROL_RUNS and CONTROL_SEED.
+/// The number of random runs, and of the threads that execute them. CONTROL_RUNS overrides the number of runs, and
+/// CONTROL_SEED the first seed.
 const RUNS: u64 = 3_000;
 const THREADS: u64 = 4;
 const RUNS_WITH_LATE_MESSAGES: u64 = 1_000;
-/// Of a hundred messages so many come a second time.
+/// The percentage of messages that are delivered a second time.
 const LATE_PERCENT: usize = 10;
 
-/// Guards against a system that does not come up: no core, no leader, no placement, or processes never current.
+/// Guards against a system that does not start: no core, no leader, no placement, or processes that never become
+/// current.
 #[test]
 fn first_start_forms_core_and_places_stores() {
     for seed in 0..20 {
-        let cluster = formed(seed, 4, 3, 4);
+        let cluster = formed_cluster(seed, 4, 3, 4);
         assert!(cluster.leader().is_some(), "seed {seed}: no leader");
         for index in 0..cluster.nodes.len() {
             let control = cluster.control(index).expect("runs");
@@ -33,10 +35,10 @@
     }
 }
 
-/// Guards against changes that do not reach every process, or wrong answers on the calm path.
+/// Guards against changes that do not reach every process, and wrong answers without faults.
 #[test]
-fn changes_are_checked_committed_and_spread() {
-    let mut cluster = formed(7, 4, 3, 3);
+fn changes_are_checked_committed_and_distributed() {
+    let mut cluster = formed_cluster(7, 4, 3, 3);
     let first = document(3, "first");
     assert_eq!(
         call(&mut cluster, 5, 1, OperatorRequest::put(0, first.clone())),
@@ -69,10 +71,10 @@
     }
 }
 
-/// Guards against timers that spin: what a machine does in calm is a few wake-ups a second.
+/// Guards against timers that fire too often: without work, a state machine wakes only a few times per second.
 #[test]
-fn calm_machines_rarely_wake() {
-    let mut cluster = formed(3, 4, 4, 3);
+fn idle_processes_rarely_wake() {
+    let mut cluster = formed_cluster(3, 4, 4, 3);
     cluster.run(2_000 * MS);
     let (before, messages) =
         (cluster.nodes.iter().map(|node| node.wakes).collect::<Vec<u64>>(), cluster.messages);
@@ -80,23 +82,25 @@
     for (node, before) in cluster.nodes.iter().zip(before) {
         let wakes = node.wakes - before;
         let is_core = node.info.disk.is_some() && node.info.role == Role::Relay;
-        // A process outside the core wakes to renew its lease once a second, and for nothing else.
+        // A process outside the core wakes only to renew its lease once a second.
         assert!(wakes <= if is_core { 90 } else { 10 }, "{}: {wakes} in 10 s", node.info.name);
     }
-    // Beside the heartbeats, each of ten processes sends ten questions to the leader, which answers them.
+    // In addition to the heartbeats, each of ten processes sends ten lease requests to the leader, which answers them.
     assert!(cluster.messages - messages < 400, "{} messages in 10 s", cluster.messages - messages);
 }
 
-/// One run with trouble. Returns what broke, and how many orders were completed.
-fn trouble(seed: u64, planted: Planted, disk_trouble: bool, late_percent: usize) -> (Vec<String>, usize) {
+/// Executes one run with random faults. Returns the violations, and the number of completed orders.
+fn run_with_faults(
+    seed: u64, injected_bug: InjectedBug, with_disk_faults: bool, late_percent: usize,
+) -> (Vec<String>, usize) {
     let core = 3 + (seed % 3) as usize;
-    let mut cluster = formed(seed, core, 2, 3);
-    cluster.planted = planted;
+    let mut cluster = formed_cluster(seed, core, 2, 3);
+    cluster.injected_bug = injected_bug;
     cluster.late_percent = late_percent;
     let mut operators = [Operator::new(1, core + 2), Operator::new(2, core + 2)];
-    let mut faults = Faults { core, disks: 1, spares: 1, disk_trouble };
+    let mut faults = Faults { core, disks: 1, spares: 1, with_disk_faults };
     for _ in 0..8 {
-        faults.strike(&mut cluster);
+        faults.inject(&mut cluster);
         let pause = (100 + cluster.random.below(1_500) as u64) * MS;
         run(&mut cluster, &mut operators, pause);
     }
@@ -105,14 +109,14 @@
         operator.is_stopping = true;
     }
     run(&mut cluster, &mut operators, 10_000 * MS);
-    let mut broken = std::mem::take(&mut cluster.checks.broken);
+    let mut violations = std::mem::take(&mut cluster.checks.violations);
     if operators.iter().any(|operator| !operator.is_idle()) {
-        broken.push("an order was not settled within 10 s of calm".to_owned());
+        violations.push("an order had no clear answer within 10 s without faults".to_owned());
     }
     let histories: Vec<_> = operators.iter().map(|operator| operator.history.clone()).collect();
-    broken.extend(check(&histories).err().map(|found| format!("{found:?}")));
+    violations.extend(check(&histories).err().map(|found| format!("{found:?}")));
     cluster.checks.finish();
-    broken.append(&mut cluster.checks.broken);
+    violations.append(&mut cluster.checks.violations);
     for index in 0..cluster.nodes.len() {
         if cluster.nodes[index].is_removed {
             continue;
@@ -122,24 +126,24 @@
             .control(index)
             .is_none_or(|control| control.state().config.version < newest || !control.is_current(cluster.now))
         {
-            broken.push(format!("node {index} does not know version {newest} after 10 s of calm"));
+            violations.push(format!("node {index} does not know version {newest} after 10 s without faults"));
         }
     }
-    (broken, operators.iter().map(|operator| operator.completed).sum())
+    (violations, operators.iter().map(|operator| operator.completed).sum())
 }
 
 fn number(variable: &str, default: u64) -> u64 {
     std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Runs seeds side by side. Returns what broke with its seed.
-fn many(planted: Planted, runs: u64, late_percent: usize) -> (Vec<(u64, String)>, usize) {
+/// Executes runs in parallel threads. Returns the violations with their seeds, and the number of completed orders.
+fn run_many(injected_bug: InjectedBug, runs: u64, late_percent: usize) -> (Vec<(u64, String)>, usize) {
     let first = number("CONTROL_SEED", 1);
     let worker = |thread: u64| {
         let mut found = (Vec::new(), 0);
         for seed in (first..first + runs).filter(|seed| seed % THREADS == thread) {
-            let (broken, completed) = trouble(seed, planted, true, late_percent);
-            found.0.extend(broken.into_iter().map(|text| (seed, text)));
+            let (violations, completed) = run_with_faults(seed, injected_bug, true, late_percent);
+            found.0.extend(violations.into_iter().map(|text| (seed, text)));
             found.1 += completed;
         }
         found
@@ -156,46 +160,48 @@
     })
 }
 
-/// Guards against lost acknowledgements, two changes on one version, steps backwards and stale reads, under drops, cuts,
-/// freezes, kills, losses of power and of a disk; and against a core that does not recover.
+/// Guards against lost acknowledgements, two changes on one version, indexes that go back and stale reads, under
+/// message loss, cuts, suspensions, kills, and losses of power and of a disk; and against a core that does not
+/// recover.
 #[test]
-fn random_trouble_breaks_nothing() {
+fn random_faults_violate_nothing() {
     let runs = number("CONTROL_RUNS", RUNS);
-    let (broken, completed) = many(Planted::Nothing, runs, 0);
-    println!("{runs} runs, {completed} orders completed, {} broken", broken.len());
-    for (seed, text) in broken.iter().take(20) {
+    let (violations, completed) = run_many(InjectedBug::Nothing, runs, 0);
+    println!("{runs} runs, {completed} orders completed, {} violations", violations.len());
+    for (seed, text) in violations.iter().take(20) {
         println!("seed {seed}: {text}");
     }
-    assert!(broken.is_empty());
-    assert!(completed as u64 > runs * 4, "the operators got hardly anything done");
+    assert!(violations.is_empty());
+    assert!(completed as u64 > runs * 4, "the operators completed too few calls");
 }
 
-/// Guards against what counts although it belongs to another epoch, life or configuration of the core: messages come a second
-/// time at any later moment, also to a later life of their receiver.
+/// Guards against messages that are counted although they belong to another epoch, process or core membership:
+/// messages are delivered a second time at any later moment, also to a later process of their receiver.
 #[test]
-fn late_messages_break_nothing() {
+fn late_messages_violate_nothing() {
     let runs = number("CONTROL_RUNS", RUNS_WITH_LATE_MESSAGES);
-    let (broken, completed) = many(Planted::Nothing, runs, LATE_PERCENT);
-    for (seed, text) in broken.iter().take(20) {
+    let (violations, completed) = run_many(InjectedBug::Nothing, runs, LATE_PERCENT);
+    for (seed, text) in violations.iter().take(20) {
         println!("seed {seed}: {text}");
     }
-    assert!(broken.is_empty());
-    assert!(completed as u64 > runs * 4, "the operators got hardly anything done");
+    assert!(violations.is_empty());
+    assert!(completed as u64 > runs * 4, "the operators completed too few calls");
 }
 
-/// Guards against what random runs once found: a member that only seemed dead was removed, and then needed.
+/// Guards against the return of a fault that random runs found: a member that only seemed dead was removed, and was
+/// needed later.
 #[test]
-fn runs_that_once_failed_pass() {
+fn seeds_that_failed_before_pass() {
     for seed in [101_388, 103_323, 109_134] {
-        let (broken, _) = trouble(seed, Planted::Nothing, false, 0);
-        assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
+        let (violations, _) = run_with_faults(seed, InjectedBug::Nothing, false, 0);
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
 /// Guards against calls that wait for a node that is known to be gone.
 #[test]
 fn a_call_does_not_wait_for_a_broken_connection() {
-    let mut cluster = formed(3, 4, 3, 3);
+    let mut cluster = formed_cluster(3, 4, 3, 3);
     let leader = cluster.leader().expect("a leader");
     let name = cluster.nodes[leader].info.name.clone();
     cluster.kill(leader);
@@ -208,25 +214,26 @@
     assert!(cluster.messages > sent, "not sent again");
 }
 
-/// Guards against checks that see nothing: a candidate that does not read a majority must be found out.
+/// Guards against checks that find nothing: they must detect a candidate that does not read the state of a majority.
 #[test]
-fn a_leader_that_reads_no_majority_is_found() {
-    let (broken, _) = many(Planted::NoMajorityRead, 2_000, 0);
+fn a_leader_that_reads_no_majority_is_detected() {
+    let (violations, _) = run_many(InjectedBug::NoMajorityRead, 2_000, 0);
     assert!(
-        broken.iter().any(|(_, text)| text.contains("acknowledged") || text.contains("index")),
+        violations.iter().any(|(_, text)| text.contains("acknowledged") || text.contains("index")),
         "not found"
     );
 }
 
-/// Of 1,000 seeds, so many must show it: one of 150.
-const FOUND_AT_LEAST: usize = 7;
+/// The minimum number of 1,000 seeds that must show the violation: one of 150.
+const MIN_DETECTING_SEEDS: usize = 7;
 
-/// Guards against checks that see nothing: promises and entries that are not synced must be found out.
+/// Guards against checks that find nothing: they must detect promises and entries that are not synced.
 #[test]
-fn a_disk_that_does_not_sync_is_found() {
-    let (broken, _) = many(Planted::LyingDisk, 1_000, 0);
+fn a_disk_that_does_not_sync_is_detected() {
+    let (violations, _) = run_many(InjectedBug::LyingDisk, 1_000, 0);
     let tells = |text: &str| text.contains("acknowledged") || text.contains("index");
-    let found: BTreeSet<u64> = broken.iter().filter(|(_, text)| tells(text)).map(|(seed, _)| *seed).collect();
+    let found: BTreeSet<u64> =
+        violations.iter().filter(|(_, text)| tells(text)).map(|(seed, _)| *seed).collect();
     println!("found with {} seeds: {found:?}", found.len());
-    assert!(found.len() >= FOUND_AT_LEAST, "found with {} seeds alone", found.len());
+    assert!(found.len() >= MIN_DETECTING_SEEDS, "found with {} seeds alone", found.len());
 }
--- a/crates/control/tests/control/contact.rs
+++ b/crates/control/tests/control/contact.rs
@@ -1,11 +1,11 @@
-//! Machines that are cut off, slow, or stand still: what they answer, and what they take their contact for.
+//! Machines that are cut off, slow or suspended: their answers, and whether they know that they lost contact.
 
-use crate::simulation::checks::LEASE;
+use crate::simulation::checks::LEASE_DURATION;
 use crate::simulation::cluster::{Cluster, MS, document};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 use pewterseam_control::{Contact, OperatorRequest, Outcome, Serving, Token};
 
-/// Cores of the cluster; after them come two relays without a disk and three stores.
+/// The number of core members; two relays without a disk and three stores follow.
 const CORE: usize = 3;
 const NODES: usize = 8;
 
@@ -29,14 +29,15 @@
     }
 }
 
-/// What two operators do meanwhile: one changes the configuration on the side that has a majority, the other asks the
-/// machines that are cut off. Every answer is checked.
+/// The calls of two operators during a test: one changes the configuration on the side that has a majority, the other
+/// one asks the machines that are cut off. Every answer is checked.
 struct Traffic {
     version: u64,
     token: u64,
-    /// The change on its way, and since when.
+    /// The change that is not answered yet, and when it was sent.
     change: Option<(u64, u64, bytes::Bytes)>,
-    /// Calls at a machine that is cut off: the token, what was acknowledged when it began, and the change's note.
+    /// Calls at machines that are cut off: the token, the newest acknowledged version when the call began, and the
+    /// change's note.
     probes: Vec<(u64, u64, Option<String>)>,
     pub acknowledged: usize,
 }
@@ -61,7 +62,7 @@
         cluster.operator(relay, Token(token), OperatorRequest::put(self.version, text));
     }
 
-    /// Reads and changes at a machine that is cut off, as an operator who reaches only that one.
+    /// Reads and makes changes at a machine that is cut off, as an operator does who reaches only that machine.
     fn probe(&mut self, cluster: &mut Cluster, relay: usize) {
         let before = cluster.checks.newest_acknowledged();
         let (read, write) = (self.next_token(), self.next_token());
@@ -93,7 +94,7 @@
                 self.acknowledged += 1;
             }
             Outcome::Conflict { current } => {
-                // A probe came first.
+                // A change by the other operator came first.
                 self.change = None;
                 self.version = *current;
             }
@@ -119,8 +120,9 @@
     }
 }
 
-/// Lets time pass with both operators at work. `whole` takes the changes, `probed` are asked every half a second.
-fn pass(cluster: &mut Cluster, traffic: &mut Traffic, span: u64, whole: usize, probed: &[usize]) {
+/// Runs the cluster with both operators. Relay `whole` gets the changes, and the machines in `probed` are asked every
+/// half a second.
+fn run_with_traffic(cluster: &mut Cluster, traffic: &mut Traffic, span: u64, whole: usize, probed: &[usize]) {
     let end = cluster.now + span;
     let mut step = 0;
     while cluster.now < end {
@@ -142,25 +144,25 @@
     cluster.control(node).expect("runs").contact(cluster.now)
 }
 
-fn is_in_touch(cluster: &Cluster, node: usize) -> bool {
+fn has_contact(cluster: &Cluster, node: usize) -> bool {
     matches!(contact(cluster, node), Contact::InTouch { .. })
 }
 
-/// Runs until a machine is in touch. Returns how long that took.
-fn until_in_touch(cluster: &mut Cluster, node: usize) -> u64 {
+/// Runs until a machine is in contact. Returns how long that took.
+fn run_until_in_contact(cluster: &mut Cluster, node: usize) -> u64 {
     let start = cluster.now;
-    while !is_in_touch(cluster, node) {
+    while !has_contact(cluster, node) {
         cluster.run(10 * MS);
-        assert!(cluster.now < start + 10_000 * MS, "node {node} is not in touch again");
+        assert!(cluster.now < start + 10_000 * MS, "node {node} has no contact again");
     }
     cluster.now - start
 }
 
-/// Cuts machines off for a span, asks them all the while, and checks what they say and know. Returns how long the slowest
-/// took to be in touch again.
+/// Cuts machines off for a span, asks them continuously, and checks their answers and their state. Returns how long
+/// the slowest one took to be in contact again.
 fn cut_off(seed: u64, span: u64, direction: Direction, victims: impl Fn(&Cluster) -> Vec<usize>) -> u64 {
     let what = format!("seed {seed}, {span} us, {direction:?}");
-    let mut cluster = formed(seed, 5, 2, 3);
+    let mut cluster = formed_cluster(seed, 5, 2, 3);
     let everybody: Vec<usize> = (0..cluster.nodes.len()).collect();
     let accepted = call(&mut cluster, 5, 1, OperatorRequest::put(0, document(1, "first")));
     assert_eq!(accepted, Some(Outcome::Accepted { version: 1 }), "{what}");
@@ -171,14 +173,14 @@
     }
     let whole = everybody.iter().copied().find(|node| !victims.contains(node)).expect("one is left");
     let mut traffic = Traffic::new(1);
-    pass(&mut cluster, &mut traffic, span.min(LEASE + 200 * MS), whole, &victims);
-    if span > LEASE {
+    run_with_traffic(&mut cluster, &mut traffic, span.min(LEASE_DURATION + 200 * MS), whole, &victims);
+    if span > LEASE_DURATION {
         for victim in &victims {
-            assert!(!is_in_touch(&cluster, *victim), "{what}: node {victim} takes itself for in touch");
+            assert!(!has_contact(&cluster, *victim), "{what}: node {victim} believes that it has contact");
             let leads = cluster.control(*victim).is_some_and(|control| control.is_leader());
-            assert!(!leads, "{what}: node {victim} leads on");
+            assert!(!leads, "{what}: node {victim} still leads");
         }
-        pass(&mut cluster, &mut traffic, span - LEASE - 200 * MS, whole, &victims);
+        run_with_traffic(&mut cluster, &mut traffic, span - LEASE_DURATION - 200 * MS, whole, &victims);
         for victim in &victims {
             let Contact::LostSince(since) = contact(&cluster, *victim) else {
                 panic!("{what}: node {victim} found contact")
@@ -187,29 +189,29 @@
         }
     }
     for node in everybody.iter().filter(|node| !victims.contains(node)) {
-        assert!(is_in_touch(&cluster, *node), "{what}: node {node} was not cut off");
+        assert!(has_contact(&cluster, *node), "{what}: node {node} was not cut off");
     }
     cluster.heal();
     let newest = cluster.checks.newest_acknowledged();
     let mut slowest = 0;
     for victim in &victims {
-        slowest = slowest.max(until_in_touch(&mut cluster, *victim));
+        slowest = slowest.max(run_until_in_contact(&mut cluster, *victim));
         let version = cluster.control(*victim).expect("runs").state().config.version;
-        let needed = if span > LEASE { newest } else { 1 };
-        assert!(version >= needed, "{what}: node {victim} is in touch without the newest configuration");
+        let needed = if span > LEASE_DURATION { newest } else { 1 };
+        assert!(version >= needed, "{what}: node {victim} has contact without the newest configuration");
     }
-    pass(&mut cluster, &mut traffic, 3_000 * MS, whole, &victims);
+    run_with_traffic(&mut cluster, &mut traffic, 3_000 * MS, whole, &victims);
     assert!(traffic.acknowledged as u64 >= span / (2_000 * MS), "{what}: {} changes", traffic.acknowledged);
     cluster.checks.finish();
-    assert_eq!(cluster.checks.broken, Vec::<String>::new(), "{what}");
+    assert_eq!(cluster.checks.violations, Vec::<String>::new(), "{what}");
     slowest
 }
 
 const SPANS: [u64; 3] = [5_000 * MS, 20_000 * MS, 60_000 * MS];
 const DIRECTIONS: [Direction; 3] = [Direction::Both, Direction::Out, Direction::In];
 
-/// Each span and direction with some seeds.
-fn cuts(name: &str, victims: impl Fn(&Cluster) -> Vec<usize>) {
+/// Runs each combination of span and direction with some seeds.
+fn check_cuts(name: &str, victims: impl Fn(&Cluster) -> Vec<usize>) {
     let mut slowest = 0;
     for span in SPANS {
         for direction in DIRECTIONS {
@@ -218,87 +220,88 @@
             }
         }
     }
-    println!("{name}: in touch again within {} ms", slowest / MS);
+    println!("{name}: in contact again within {} ms", slowest / MS);
     assert!(slowest < 3_000 * MS, "{name}: {} ms", slowest / MS);
 }
 
-/// Guards against a relay outside the core that takes an old configuration for the newest.
+/// Guards against a relay outside the core that takes an old configuration for the newest one.
 #[test]
-fn a_cut_relay_knows_that_it_is_cut_off() {
-    cuts("a relay outside the core", |_| vec![5]);
+fn an_isolated_relay_knows_that_it_lost_contact() {
+    check_cuts("a relay outside the core", |_| vec![5]);
 }
 
-/// Guards against a core member that hands out, refuses or confirms on its own.
+/// Guards against a core member that answers, rejects or acknowledges without a majority.
 #[test]
-fn a_cut_core_member_neither_confirms_nor_refuses() {
-    cuts("a core member", |cluster| vec![(cluster.leader().expect("leads") + 1) % 5]);
+fn an_isolated_core_member_gives_no_answers() {
+    check_cuts("a core member", |cluster| vec![(cluster.leader().expect("leads") + 1) % 5]);
 }
 
-/// Guards against a leader that goes on without its followers.
+/// Guards against a leader that continues without its followers.
 #[test]
-fn a_cut_leader_neither_confirms_nor_refuses() {
-    cuts("a leader", |cluster| vec![cluster.leader().expect("leads")]);
+fn an_isolated_leader_gives_no_answers() {
+    check_cuts("a leader", |cluster| vec![cluster.leader().expect("leads")]);
 }
 
-/// Guards against two that are cut off together, one of them the leader.
+/// Guards against two members that are cut off together, one of them the leader, and answer without a majority.
 #[test]
-fn two_cut_at_once_neither_confirm_nor_refuse() {
-    cuts("a leader and another member", |cluster| {
+fn two_isolated_members_give_no_answers() {
+    check_cuts("a leader and another member", |cluster| {
         let leader = cluster.leader().expect("leads");
         vec![leader, (leader + 2) % 5]
     });
 }
 
-/// Guards against a leader that is cut from its followers and not from operators, relays and stores, and the reverse.
+/// Guards against wrong answers of a leader that is cut off from its followers but not from operators, relays and
+/// stores, and of one in the reverse situation.
 #[test]
 fn a_leader_cut_from_one_side_only() {
     for seed in 0..20 {
-        let mut cluster = formed(seed, CORE, 2, 3);
+        let mut cluster = formed_cluster(seed, CORE, 2, 3);
         call(&mut cluster, 3, 1, OperatorRequest::put(0, document(1, "first")));
         let leader = cluster.leader().expect("leads");
         let followers: Vec<usize> = (0..CORE).filter(|node| *node != leader).collect();
         let others: Vec<usize> = (CORE..NODES).collect();
         cut(&mut cluster, leader, &followers, Direction::Both);
         let mut traffic = Traffic::new(1);
-        pass(&mut cluster, &mut traffic, 20_000 * MS, followers[0], &[leader, 3]);
-        assert!(!is_in_touch(&cluster, leader), "seed {seed}");
-        assert!(is_in_touch(&cluster, 3), "seed {seed}: a relay finds the new leader");
+        run_with_traffic(&mut cluster, &mut traffic, 20_000 * MS, followers[0], &[leader, 3]);
+        assert!(!has_contact(&cluster, leader), "seed {seed}");
+        assert!(has_contact(&cluster, 3), "seed {seed}: a relay finds the new leader");
         cluster.heal();
-        until_in_touch(&mut cluster, leader);
-        // Now the core is whole, and its leader is out of the others' reach.
+        run_until_in_contact(&mut cluster, leader);
+        // Now the core is connected, and the other nodes cannot reach its leader.
         cluster.run(2_000 * MS);
         let leader = cluster.leader().expect("leads");
         cut(&mut cluster, leader, &others, Direction::Both);
-        pass(&mut cluster, &mut traffic, 20_000 * MS, leader, &[3]);
-        assert!(is_in_touch(&cluster, leader), "seed {seed}");
+        run_with_traffic(&mut cluster, &mut traffic, 20_000 * MS, leader, &[3]);
+        assert!(has_contact(&cluster, leader), "seed {seed}");
         cluster.heal();
-        until_in_touch(&mut cluster, 3);
-        pass(&mut cluster, &mut traffic, 2_000 * MS, 3, &[leader]);
+        run_until_in_contact(&mut cluster, 3);
+        run_with_traffic(&mut cluster, &mut traffic, 2_000 * MS, 3, &[leader]);
         cluster.checks.finish();
-        assert_eq!(cluster.checks.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(cluster.checks.violations, Vec::<String>::new(), "seed {seed}");
         assert!(traffic.acknowledged > 20, "seed {seed}: {} changes", traffic.acknowledged);
     }
 }
 
-/// Guards against readiness that comes and goes with ordinary changes of the leader.
+/// Guards against a loss of contact during an ordinary change of the leader.
 #[test]
-fn a_change_of_leader_costs_nobody_contact() {
+fn a_change_of_leader_keeps_contact() {
     for seed in 0..100 {
-        let mut cluster = formed(seed, 4, 2, 3);
+        let mut cluster = formed_cluster(seed, 4, 2, 3);
         cluster.run(1_500 * MS + seed * 31 * MS);
         let leader = cluster.leader().expect("leads");
         cluster.kill(leader);
         cluster.run(8_000 * MS);
-        assert_eq!(cluster.checks.lapses, 0, "seed {seed}");
+        assert_eq!(cluster.checks.contact_losses, 0, "seed {seed}");
     }
 }
 
-/// Guards against contact that comes and goes on links that are slow or lose a part of what they carry.
+/// Guards against repeated losses of contact on slow or lossy links.
 #[test]
 fn slow_and_lossy_links_keep_contact() {
-    let mut lapses = 0;
+    let mut contact_losses = 0;
     for seed in 0..40 {
-        let mut cluster = formed(seed, CORE, 2, 3);
+        let mut cluster = formed_cluster(seed, CORE, 2, 3);
         call(&mut cluster, 3, 1, OperatorRequest::put(0, document(1, "first")));
         cluster.drop_percent = 5;
         let slow = cluster.random.below(NODES);
@@ -307,49 +310,51 @@
             cluster.slow.insert((other, slow), 150 * MS);
         }
         let mut traffic = Traffic::new(1);
-        pass(&mut cluster, &mut traffic, 60_000 * MS, (slow + 1) % NODES, &[slow]);
-        lapses += cluster.checks.lapses;
+        run_with_traffic(&mut cluster, &mut traffic, 60_000 * MS, (slow + 1) % NODES, &[slow]);
+        contact_losses += cluster.checks.contact_losses;
         cluster.checks.finish();
-        assert_eq!(cluster.checks.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(cluster.checks.violations, Vec::<String>::new(), "seed {seed}");
         assert!(traffic.acknowledged > 20, "seed {seed}: {} changes", traffic.acknowledged);
     }
-    println!("{lapses} lapses of contact in 40 minutes of 8 machines at 5 % loss");
-    assert!(lapses <= 8, "{lapses} lapses");
+    println!("{contact_losses} losses of contact in 40 minutes of 8 machines at 5 % loss");
+    assert!(contact_losses <= 8, "{contact_losses} losses of contact");
 }
 
-/// Guards against a process that stood still and takes its lease, or an answer that waited for it, for new.
+/// Guards against a process that was suspended and takes an expired lease, or an answer that arrived meanwhile, for
+/// current.
 #[test]
-fn a_process_that_stood_still_is_out_of_touch() {
+fn a_suspended_process_has_lost_contact() {
     for seed in 0..60 {
-        let mut cluster = formed(seed, CORE, 2, 3);
+        let mut cluster = formed_cluster(seed, CORE, 2, 3);
         call(&mut cluster, 3, 1, OperatorRequest::put(0, document(1, "first")));
         let leader = cluster.leader().expect("leads");
         let frozen = [leader, (leader + 1) % CORE, 3][(seed % 3) as usize];
-        // The moment is drawn so that a question or its answer is under way in some runs.
+        // The moment is random, so that a lease request or its answer is under way in some runs.
         cluster.run(1_000 * MS + seed * 17 * MS);
         cluster.freeze(frozen, 12_000 * MS);
         let mut traffic = Traffic::new(1);
         let whole = if frozen == 3 { 4 } else { 3 };
-        pass(&mut cluster, &mut traffic, 11_990 * MS, whole, &[]);
+        run_with_traffic(&mut cluster, &mut traffic, 11_990 * MS, whole, &[]);
         let newest = cluster.checks.newest_acknowledged();
         assert!(newest > 5, "seed {seed}: {newest}");
-        // It is asked before its timers ran.
-        assert!(!is_in_touch(&cluster, frozen), "seed {seed}");
+        // The process is asked before its timers have run.
+        assert!(!has_contact(&cluster, frozen), "seed {seed}");
         cluster.nodes[frozen].frozen = false;
         traffic.probe(&mut cluster, frozen);
         cluster.nodes[frozen].frozen = true;
-        assert!(!is_in_touch(&cluster, frozen), "seed {seed}");
-        pass(&mut cluster, &mut traffic, 20 * MS, whole, &[]);
+        assert!(!has_contact(&cluster, frozen), "seed {seed}");
+        run_with_traffic(&mut cluster, &mut traffic, 20 * MS, whole, &[]);
         let version = cluster.control(frozen).expect("runs").state().config.version;
-        assert!(!is_in_touch(&cluster, frozen) || version >= newest, "seed {seed}: version {version}");
-        pass(&mut cluster, &mut traffic, 4_000 * MS, whole, &[frozen]);
-        assert!(is_in_touch(&cluster, frozen), "seed {seed}");
+        assert!(!has_contact(&cluster, frozen) || version >= newest, "seed {seed}: version {version}");
+        run_with_traffic(&mut cluster, &mut traffic, 4_000 * MS, whole, &[frozen]);
+        assert!(has_contact(&cluster, frozen), "seed {seed}");
         cluster.checks.finish();
-        assert_eq!(cluster.checks.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(cluster.checks.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// Guards against a relay that takes clients while it is cut off or behind, and against a core outage that stops service.
+/// Guards against a relay that serves clients while it is cut off or behind, and against a core outage that stops all
+/// service.
 #[test]
 fn readiness_follows_contact() {
     let span = 4_000 * MS;
--- a/crates/control/tests/control/earlier_processes.rs
+++ b/crates/control/tests/control/earlier_processes.rs
@@ -1,4 +1,4 @@
-//! Answers to calls of an earlier process of a node, which reach a later one.
+//! Answers to calls of an earlier process of a node that reach a later process of it.
 
 use pewterseam_control::{
     CallId, Contact, Control, ControlMessage, ControlSettings, Effect, OperatorRequest, Outcome, Token,
@@ -11,31 +11,31 @@
 use crate::orders::outcomes;
 use crate::repeated_calls::relay;
 use crate::simulation::cluster::{Cluster, MS, document};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 
 const SEEDS: u64 = 50;
 
-/// A relay without a disk, and two others that operators call.
+/// Two relays without a disk: the one that is restarted, and another one that operators call.
 const RESTARTED: usize = 3;
 const OTHER: usize = 4;
 
-/// The first call of each process.
+/// The token of each process's first call.
 const FIRST: Token = Token(1);
-const SENT_AGAIN: Token = Token(2);
+const REPEATED: Token = Token(2);
 
-const STANDS_STILL: u64 = 600 * MS;
+const LEADER_SUSPENDED: u64 = 600 * MS;
 
-/// A cluster whose leader stands still while a relay passes on its first call, is killed and starts again. The next
-/// process has taken its first call when the leader goes on.
+/// A cluster whose leader is suspended while a relay forwards its first call, is killed and restarts. The relay's next
+/// process has taken its first call when the leader resumes.
 fn call_in_two_processes(seed: u64, first: &OperatorRequest, second: &OperatorRequest) -> Cluster {
-    let mut cluster = formed(seed, 3, 2, 3);
+    let mut cluster = formed_cluster(seed, 3, 2, 3);
     let base = OperatorRequest::put(0, document(1, "base"));
     assert_eq!(call(&mut cluster, OTHER, 9, base), Some(Outcome::Accepted { version: 1 }), "seed {seed}");
     cluster.kill(RESTARTED);
     cluster.start_after(RESTARTED, 0);
     cluster.run(2_000 * MS);
     let leader = cluster.leader().expect("a leader");
-    cluster.freeze(leader, STANDS_STILL);
+    cluster.freeze(leader, LEADER_SUSPENDED);
     assert!(cluster.operator(RESTARTED, FIRST, first.clone()));
     cluster.run(100 * MS);
     cluster.kill(RESTARTED);
@@ -46,8 +46,8 @@
     cluster
 }
 
-/// Guards against two changes on top of one version that are both acknowledged: the leader's answer to a change that a
-/// killed process passed on is taken for the answer to the change that the node's next process passes on.
+/// Guards against acknowledging two changes that are based on one version. This happens if the leader's answer to a
+/// change that a killed process forwarded is taken for the answer to the change that the node's next process forwards.
 #[test]
 fn two_changes_by_two_processes_of_a_relay_are_not_both_acknowledged() {
     let mut acknowledged = 0;
@@ -55,10 +55,10 @@
         let first = OperatorRequest::put(1, document(2, "the first operator's"));
         let second = OperatorRequest::put(1, document(2, "the second operator's"));
         let mut cluster = call_in_two_processes(seed, &first, &second);
-        assert!(cluster.operator(OTHER, SENT_AGAIN, first.clone()));
+        assert!(cluster.operator(OTHER, REPEATED, first.clone()));
         cluster.run(2_000 * MS);
         let accepted = Outcome::Accepted { version: 2 };
-        let is_first = outcomes(&mut cluster, SENT_AGAIN.0).contains(&accepted);
+        let is_first = outcomes(&mut cluster, REPEATED.0).contains(&accepted);
         let is_second = outcomes(&mut cluster, FIRST.0).contains(&accepted);
         assert!(!(is_first && is_second), "seed {seed}: both changes on version 1 were acknowledged");
         acknowledged += usize::from(is_first || is_second);
@@ -66,8 +66,8 @@
     assert_eq!(acknowledged as u64, SEEDS, "one of the two is taken each time");
 }
 
-/// Guards against the answer to one kind of call that is taken for the answer to another: a read is told of a change that
-/// nobody made through this process, or a change of what an earlier process had read.
+/// Guards against taking the answer to one kind of call for the answer to another: a read that gets the answer to a
+/// change of an earlier process, or a change that gets the answer to an earlier read.
 #[test]
 fn a_read_gets_no_answer_to_a_change_of_an_earlier_process() {
     for seed in 0..SEEDS {
@@ -87,8 +87,8 @@
     }
 }
 
-/// A process of a relay that knows of a member of the core, and the first question of its lease.
-fn asking(seed: u64) -> (Control, CallId) {
+/// A process of a relay that knows one core member, and the first request of its lease.
+fn relay_with_lease_request(seed: u64) -> (Control, CallId) {
     let settings = ControlSettings::default();
     let control = Control::new(0, &relay(1, None), settings, (None, Vec::new()), seed);
     let mut control = control.expect("starts");
@@ -100,13 +100,13 @@
     (control, asked.expect("a question"))
 }
 
-/// Guards against a lease that an earlier process's question confirms: a process would hold itself for one that knows
-/// all that was committed before it asked, though the leader answered before that.
+/// Guards against a lease that is confirmed by the request of an earlier process: the process would believe that it
+/// knows everything that was committed before its own request, although the leader answered before that.
 #[test]
 fn the_answer_to_an_earlier_process_confirms_no_lease() {
     for seed in 0..SEEDS {
-        let (_, earlier) = asking(seed);
-        let (mut control, own) = asking(SEEDS + seed);
+        let (_, earlier) = relay_with_lease_request(seed);
+        let (mut control, own) = relay_with_lease_request(SEEDS + seed);
         let core = NodeName::new("node-2");
         let answer = |call| ControlMessage::OperatorAnswer { call, outcome: Outcome::Index(0) };
         control.message(500 * MS, &core, answer(earlier));
@@ -124,7 +124,7 @@
     }
 }
 
-/// The messages of calls as builds before this one have them: a call is named by a count that begins at 1 with each process.
+/// The call messages as builds before this one encode them: calls are numbered from 1 in each process.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum OldMessage {
     Operator { token: u64, request: OperatorRequest },
@@ -132,9 +132,10 @@
     NotLeader { token: u64, leader: Option<NodeName> },
 }
 
-/// Guards against a roll from the build before, or back to it, in which one side cannot read the other's calls.
+/// Guards against an upgrade from the previous build, or a rollback to it, in which one side cannot decode the other's
+/// calls.
 #[test]
-fn calls_are_read_by_the_build_before_and_from_it() {
+fn calls_are_compatible_with_the_previous_build() {
     let largest = CallId(u64::MAX);
     let pairs = [
         (
--- a/crates/control/tests/control/elections.rs
+++ b/crates/control/tests/control/elections.rs
@@ -5,19 +5,19 @@
 };
 
 use crate::simulation::cluster::{Cluster, MS, document};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 
-/// Guards against a leader that answers before an entry of its own epoch is committed: it may lead on a state that is
-/// older than what was confirmed, or one that was never agreed.
+/// Guards against a leader that answers before an entry of its own epoch is committed: its state may be older than
+/// what was acknowledged, or may never have been agreed on.
 #[test]
 fn a_leader_serves_nothing_before_an_entry_of_its_epoch_is_committed() {
     for seed in 0..20 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         let accepted = call(&mut cluster, 3, 1, OperatorRequest::put(0, document(5, "kept")));
         assert_eq!(accepted, Some(Outcome::Accepted { version: 5 }));
         let old = cluster.leader().expect("a leader");
         cluster.kill(old);
-        cluster.holds_entries = true;
+        cluster.drops_accepts = true;
         let leader = (0..600).find_map(|_| {
             cluster.run(10 * MS);
             cluster.leader()
@@ -28,9 +28,9 @@
         cluster.run(800 * MS);
         assert!(cluster.leader().is_some(), "seed {seed}: nobody leads any more");
         assert!(cluster.answers.is_empty(), "seed {seed}: {:?}", cluster.answers);
-        cluster.holds_entries = false;
+        cluster.drops_accepts = false;
         cluster.run(2_000 * MS);
-        // The change that waited is taken once entries are accepted again, if its caller has not given it up before.
+        // The waiting change is accepted once entries are accepted again, unless its caller has given up before.
         let change = cluster.answers.iter().find(|(_, token, _)| *token == Token(3));
         let outcome = change.map(|(_, _, outcome)| outcome.clone());
         cluster.answers.clear();
@@ -45,7 +45,7 @@
     }
 }
 
-/// A process that starts on what another member's disk holds, without anybody to talk to.
+/// A process that starts with the content of a member's disk and without any peers.
 fn alone(cluster: &Cluster, node: usize) -> (Control, u64) {
     let info = cluster.nodes[node].info.clone();
     let now = cluster.now;
@@ -71,11 +71,11 @@
     sequences.max()
 }
 
-/// Guards against a promise that goes out before it is synced, or that tells of a state which is not: neither one that
-/// was learnt as committed just before.
+/// Guards against a promise that is sent before it is synced, or that names a state that is not synced, including a
+/// state that was learned as committed just before.
 #[test]
-fn a_promise_waits_for_the_disk_and_tells_of_what_is_synced() {
-    let mut cluster = formed(3, 3, 2, 3);
+fn a_promise_waits_for_the_disk_and_names_a_synced_state() {
+    let mut cluster = formed_cluster(3, 3, 2, 3);
     call(&mut cluster, 3, 1, OperatorRequest::put(0, document(5, "first")));
     let leader = cluster.leader().expect("a leader");
     let member = (0..3).find(|node| *node != leader).expect("another");
@@ -85,7 +85,7 @@
     let (mut control, now) = alone(&cluster, member);
     let index = control.index();
     let candidate = cluster.nodes[leader].info.name.clone();
-    // What it lacks comes as pieces or entries of a holder's answer.
+    // The missing state arrives as pieces or entries in a holder's answer.
     let have = control.accepted_stamp();
     let mut learnt = Vec::new();
     for message in answers_to_fetch(&mut cluster, leader, member, have) {
@@ -99,7 +99,7 @@
     assert_eq!(promised(&effects), None, "before anything is synced");
     assert_eq!(promised(&control.persisted(now, learning)), None, "before the promise is synced");
     assert_eq!(promised(&control.persisted(now, promising)), Some(control.index()));
-    // What the disk holds leads to the state that was told of.
+    // The disk content recovers to the state that the promise named.
     let mut records: Vec<bytes::Bytes> = Vec::new();
     for effect in learnt.into_iter().chain(effects) {
         if let Effect::Persist { records: written, .. } = effect {
@@ -126,11 +126,11 @@
         .collect()
 }
 
-/// Guards against a member that leads, or is followed, because it promised a higher epoch, though its log is shorter.
+/// Guards against a member that leads, or is followed, because it promised a higher epoch although its log is shorter.
 #[test]
 fn a_higher_epoch_with_a_shorter_log_does_not_win() {
     for seed in 0..20 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         call(&mut cluster, 3, 1, OperatorRequest::put(0, document(5, "first")));
         let leader = cluster.leader().expect("a leader");
         let short = (0..3).find(|node| *node != leader).expect("another");
@@ -157,6 +157,6 @@
         };
         assert_eq!(config.version, 6, "seed {seed}");
         cluster.checks.finish();
-        assert_eq!(cluster.checks.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(cluster.checks.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/control/tests/control/exploration.rs
+++ b/crates/control/tests/control/exploration.rs
@@ -1,62 +1,66 @@
-//! The control log in the small, explored: every sequence of a few disturbances, over the real state machines.
+//! Exhaustive exploration of the control log at a small scale: every sequence of a few faults and actions, with the
+//! real state machines.
 //!
-//! A branch is a copy of the whole simulated cluster. After each disturbance only a little time passes, so that the next
-//! one comes while messages and syncs of the last are under way. At the end of a branch all is healed, and what must hold
-//! is checked. Branches that lead to the same state of the log by the same means are followed once.
+//! A branch is a copy of the complete simulated cluster. After each step only a short time passes, so that the next
+//! one happens while messages and syncs of the last are under way. At the end of a branch all faults are ended and the
+//! invariants are checked. Of several branches that reach the same state of the log by the same set of steps, only one
+//! is followed.
 
 use std::collections::BTreeSet;
 
-use crate::formed;
-use crate::simulation::cluster::{Cluster, DiskTrouble, MS, document};
-use crate::simulation::history::{Action, Operation, Told, check};
+use crate::formed_cluster;
+use crate::simulation::cluster::{Cluster, DiskFault, MS, document};
+use crate::simulation::history::{Action, Answer, Operation, check};
 use pewterseam_control::{OperatorRequest, Outcome, Token};
 
-/// Messages take up to 4.5 ms and syncs up to 3.5 ms: an early, a middle and a late moment of what a change needs.
+/// The pauses between steps. Messages take up to 4.5 ms and syncs up to 3.5 ms, so these are an early, a middle and a
+/// late moment of a change.
 const EARLY: u64 = 2 * MS;
 const MIDDLE: u64 = 6 * MS;
 const LATE: u64 = 11 * MS;
-/// A change is through, if nothing keeps it.
-const THROUGH: u64 = 40 * MS;
-/// Members elect a leader.
+/// The time after which a change is complete, unless a fault prevents it.
+const CHANGE_COMPLETE: u64 = 40 * MS;
+/// The time in which the members elect a leader.
 const ELECTION: u64 = 2_600 * MS;
-/// After the last disturbance all settles in this.
+/// The time in which the cluster recovers after the last step.
 const SETTLE: u64 = 7_000 * MS;
-/// Branches are shared out among so many threads.
+/// The number of threads that share the branches.
 const THREADS: usize = 3;
 
-/// What may happen. `L` is the leader before the first disturbance, and the other members follow it in the ring.
+/// A step of a branch. The leader is the one before the first step; the other members follow it in ring order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Disturbance {
-    /// The first operator's change, on the version before all, at the leader; it is halfway through.
+enum Step {
+    /// The first operator sends a change based on the first version to the leader; the change is halfway through when
+    /// the next step follows.
     OrderAtLeader,
-    /// The second operator's, on the same version, at the next member.
+    /// The second operator sends a change based on the same version to the next member.
     OrderAtNext,
-    /// The first operator's change once more, unchanged, at the last member.
+    /// The first operator sends its unchanged order again, to the last member.
     Resend,
-    /// The leader reaches the next member alone.
-    LeaderSeesOne,
-    /// The leader reaches nobody.
+    /// The leader is cut off from all nodes but the next member.
+    LeaderReachesOne,
+    /// The leader is cut off from all nodes.
     LeaderAlone,
-    /// The next member's messages are lost, and it hears all.
+    /// All messages from the next member are lost, but it receives those of others.
     NextIsMute,
     HealLinks,
     LeaderLosesPower,
     NextLosesPower,
     AllLosePower,
     NextLosesDisk,
-    LeaderStandsStill,
+    LeaderIsSuspended,
     LeaderDiskStalls,
     LeaderDiskRecovers,
-    TimeForElection,
+    ElectionTimePasses,
 }
 
-use Disturbance::*;
+use Step::*;
 
-const ALL: [Disturbance; 15] = [
+const ALL_STEPS: [Step; 15] = [
     OrderAtLeader,
     OrderAtNext,
     Resend,
-    LeaderSeesOne,
+    LeaderReachesOne,
     LeaderAlone,
     NextIsMute,
     HealLinks,
@@ -64,29 +68,29 @@
     NextLosesPower,
     AllLosePower,
     NextLosesDisk,
-    LeaderStandsStill,
+    LeaderIsSuspended,
     LeaderDiskStalls,
     LeaderDiskRecovers,
-    TimeForElection,
+    ElectionTimePasses,
 ];
 
-/// One branch: the cluster, what has happened in it, and what the operators saw.
+/// One branch: the cluster, the steps so far, and the operators' calls.
 #[derive(Clone)]
 struct Branch {
     cluster: Cluster,
     core: usize,
     leader: usize,
-    /// The pause after a disturbance.
+    /// The pause after a step.
     pause: u64,
-    path: Vec<Disturbance>,
-    /// The calls of the operators, by token.
+    path: Vec<Step>,
+    /// The operators' calls, by token.
     calls: Vec<(u64, Operation)>,
 }
 
-/// Tokens of the operators' calls.
+/// The tokens of the operators' calls.
 const FIRST: u64 = 10;
 const SECOND: u64 = 11;
-const AGAIN: u64 = 12;
+const RESENT: u64 = 12;
 const READ: u64 = 20;
 
 fn order(token: u64) -> bytes::Bytes {
@@ -95,10 +99,11 @@
 
 impl Branch {
     fn root(seed: u64, core: usize, pause: u64) -> Self {
-        let mut cluster = formed(seed, core, 1, 3);
+        let mut cluster = formed_cluster(seed, core, 1, 3);
         cluster.operator(core, Token(1), OperatorRequest::put(0, document(1, "before")));
         cluster.run(1_000 * MS);
-        let accepted = cluster.answers.iter().any(|(_, _, told)| *told == Outcome::Accepted { version: 1 });
+        let accepted =
+            cluster.answers.iter().any(|(_, _, answer)| *answer == Outcome::Accepted { version: 1 });
         assert!(accepted, "the first configuration is in force");
         cluster.answers.clear();
         let leader = cluster.leader().expect("leads");
@@ -115,9 +120,9 @@
         }
     }
 
-    fn cut_leader(&mut self, seen: &[usize]) {
+    fn cut_leader(&mut self, visited: &[usize]) {
         let leader = self.leader;
-        for node in (0..self.cluster.nodes.len()).filter(|node| !seen.contains(node)) {
+        for node in (0..self.cluster.nodes.len()).filter(|node| !visited.contains(node)) {
             self.cut(leader, node);
             self.cut(node, leader);
         }
@@ -128,38 +133,38 @@
         let called_at = self.cluster.now;
         let request = OperatorRequest::put(1, order(token));
         if self.cluster.operator(node, Token(token), request) {
-            let told = Told::Nothing;
-            self.calls.push((token, Operation { called_at, answered_at: u64::MAX, action, told }));
+            let answer = Answer::Nothing;
+            self.calls.push((token, Operation { called_at, answered_at: u64::MAX, action, answer }));
         }
     }
 
-    /// Whether something may come next. Each comes once, and only where it changes something.
-    fn allows(&self, next: Disturbance) -> bool {
-        let has = |what: Disturbance| self.path.contains(&what);
+    /// Whether a step may come next. Most steps come only once, and only if they change something.
+    fn allows(&self, next: Step) -> bool {
+        let has = |what: Step| self.path.contains(&what);
         match next {
-            TimeForElection => self.path.last() != Some(&TimeForElection),
+            ElectionTimePasses => self.path.last() != Some(&ElectionTimePasses),
             Resend => has(OrderAtLeader) && !has(Resend),
             HealLinks => !self.cluster.cuts.is_empty(),
             LeaderDiskRecovers => has(LeaderDiskStalls) && !has(LeaderDiskRecovers),
-            // A disk that is lost while another machine is down is more than the core is to bear.
+            // The core need not survive a disk that is lost while another machine is down.
             NextLosesDisk => !has(NextLosesDisk) && !has(AllLosePower) && !has(LeaderLosesPower),
             AllLosePower | LeaderLosesPower => !has(next) && !has(NextLosesDisk),
             _ => !has(next),
         }
     }
 
-    fn disturb(&mut self, disturbance: Disturbance) {
+    fn take_step(&mut self, step: Step) {
         let (leader, next, last) = (self.leader, self.member(1), self.member(2));
-        self.path.push(disturbance);
+        self.path.push(step);
         let mut pause = self.pause;
-        match disturbance {
+        match step {
             OrderAtLeader => self.call(FIRST, leader),
             OrderAtNext => self.call(SECOND, next),
             Resend => {
-                self.call(AGAIN, last);
-                pause = THROUGH;
+                self.call(RESENT, last);
+                pause = CHANGE_COMPLETE;
             }
-            LeaderSeesOne => self.cut_leader(&[next]),
+            LeaderReachesOne => self.cut_leader(&[next]),
             LeaderAlone => self.cut_leader(&[]),
             NextIsMute => (0..self.cluster.nodes.len()).for_each(|node| self.cut(next, node)),
             HealLinks => self.cluster.cuts.clear(),
@@ -170,12 +175,12 @@
                 self.cluster.lose_disk(next);
                 self.cluster.start_after(next, 300 * MS);
             }
-            LeaderStandsStill => self.cluster.freeze(leader, 2_300 * MS),
+            LeaderIsSuspended => self.cluster.freeze(leader, 2_300 * MS),
             LeaderDiskStalls => {
-                self.cluster.disks.insert(leader, DiskTrouble::Stalled);
+                self.cluster.disks.insert(leader, DiskFault::Stalled);
             }
             LeaderDiskRecovers => self.cluster.disks.clear(),
-            TimeForElection => pause = ELECTION,
+            ElectionTimePasses => pause = ELECTION,
         }
         self.cluster.run(pause);
         self.note_answers();
@@ -191,22 +196,22 @@
 
     fn note_answers(&mut self) {
         for (_, token, outcome) in std::mem::take(&mut self.cluster.answers) {
-            let told = match outcome {
-                Outcome::Accepted { .. } => Told::Accepted,
-                Outcome::Conflict { .. } | Outcome::Invalid { .. } => Told::Refused,
+            let answer = match outcome {
+                Outcome::Accepted { .. } => Answer::Accepted,
+                Outcome::Conflict { .. } | Outcome::Invalid { .. } => Answer::Refused,
                 _ => continue,
             };
             if let Some((_, call)) = self.calls.iter_mut().find(|(called, _)| *called == token.0) {
-                call.told = told;
+                call.answer = answer;
                 call.answered_at = self.cluster.now;
             }
         }
     }
 
-    /// What two branches share if one of them need not be followed.
+    /// The state by which branches are compared: of branches with the same state only one is followed.
     fn state(&self) -> String {
-        let mut seen = self.path.clone();
-        seen.sort_unstable();
+        let mut visited = self.path.clone();
+        visited.sort_unstable();
         let members: Vec<String> = (0..self.core)
             .map(|node| {
                 let log = self.cluster.nodes[node].disk.log();
@@ -215,11 +220,11 @@
                 format!("{:?} {:?} {:?}", log, known, self.cluster.disks.get(&node))
             })
             .collect();
-        let told: Vec<&Told> = self.calls.iter().map(|(_, call)| &call.told).collect();
-        format!("{seen:?} {:?} {members:?} {told:?} {}", self.cluster.cuts, self.cluster.now / ELECTION)
+        let answer: Vec<&Answer> = self.calls.iter().map(|(_, call)| &call.answer).collect();
+        format!("{visited:?} {:?} {members:?} {answer:?} {}", self.cluster.cuts, self.cluster.now / ELECTION)
     }
 
-    /// All is healed: the core comes back, takes a change, and nothing that was seen contradicts anything else.
+    /// Ends all faults and checks that the core recovers and answers, and that no observation contradicts another.
     fn conclude(mut self) -> Vec<String> {
         self.cluster.heal();
         self.cluster.run(SETTLE);
@@ -231,64 +236,64 @@
             Outcome::Config(config) => Some(config.version),
             _ => None,
         });
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         match read {
             Some(version) => {
-                let (action, told) = (Action::Read, Told::Version(version));
-                let read = Operation { called_at: asked, answered_at: self.cluster.now, action, told };
+                let (action, answer) = (Action::Read, Answer::Version(version));
+                let read = Operation { called_at: asked, answered_at: self.cluster.now, action, answer };
                 self.calls.push((READ, read));
             }
-            None => broken.push("the core does not answer after all was healed".to_owned()),
+            None => violations.push("the core does not answer after all faults ended".to_owned()),
         }
-        // The first configuration was there before all.
+        // The first configuration existed before all steps.
         let before = Operation {
             called_at: 0,
             answered_at: 1,
             action: Action::Change { order: (0, Vec::new()), version: 1 },
-            told: Told::Accepted,
+            answer: Answer::Accepted,
         };
         let mut operators: Vec<Vec<Operation>> = vec![vec![before]];
         operators.extend(self.calls.iter().map(|(_, call)| vec![call.clone()]));
-        broken.extend(check(&operators).err().map(|found| format!("{found:?}")));
+        violations.extend(check(&operators).err().map(|found| format!("{found:?}")));
         self.cluster.checks.finish();
-        broken.append(&mut self.cluster.checks.broken);
-        broken.into_iter().map(|line| format!("{:?}: {line}", self.path)).collect()
+        violations.append(&mut self.cluster.checks.violations);
+        violations.into_iter().map(|line| format!("{:?}: {line}", self.path)).collect()
     }
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Default)]
 struct Explored {
     branches: usize,
-    ends: usize,
-    broken: Vec<String>,
+    completed_branches: usize,
+    violations: Vec<String>,
 }
 
-fn explore(branch: &Branch, depth: usize, seen: &mut BTreeSet<String>, explored: &mut Explored) {
+fn explore(branch: &Branch, depth: usize, visited: &mut BTreeSet<String>, explored: &mut Explored) {
     explored.branches += 1;
     if depth == 0 {
-        explored.ends += 1;
-        explored.broken.extend(branch.clone().conclude());
+        explored.completed_branches += 1;
+        explored.violations.extend(branch.clone().conclude());
         return;
     }
-    for disturbance in ALL.into_iter().filter(|next| branch.allows(*next)) {
+    for step in ALL_STEPS.into_iter().filter(|next| branch.allows(*next)) {
         let mut next = branch.clone();
-        next.disturb(disturbance);
-        if seen.insert(next.state()) {
-            explore(&next, depth - 1, seen, explored);
+        next.take_step(step);
+        if visited.insert(next.state()) {
+            explore(&next, depth - 1, visited, explored);
         }
     }
 }
 
-/// Follows all sequences of so many disturbances, so far apart, in a core of this size.
+/// Explores all sequences of this many steps, with this pause between them, in a core of this size.
 fn explore_all(core: usize, depth: usize, pause: u64) {
     let root = Branch::root(number("CONTROL_SEED", 7), core, pause);
     let explore_part = |thread: usize| {
-        let (mut explored, mut seen) = (Explored::default(), BTreeSet::new());
-        for first in ALL.into_iter().skip(thread).step_by(THREADS).filter(|first| root.allows(*first)) {
+        let (mut explored, mut visited) = (Explored::default(), BTreeSet::new());
+        for first in ALL_STEPS.into_iter().skip(thread).step_by(THREADS).filter(|first| root.allows(*first)) {
             let mut branch = root.clone();
-            branch.disturb(first);
-            explore(&branch, depth - 1, &mut seen, &mut explored);
+            branch.take_step(first);
+            explore(&branch, depth - 1, &mut visited, &mut explored);
         }
         explored
     };
@@ -298,20 +303,20 @@
         for thread in threads {
             let part = thread.join().expect("it ends");
             all.branches += part.branches;
-            all.ends += part.ends;
-            all.broken.extend(part.broken);
+            all.completed_branches += part.completed_branches;
+            all.violations.extend(part.violations);
         }
     });
     println!(
-        "core of {core}, {depth} disturbances {pause} us apart: {} branches, {} ends, {} lines broken",
+        "core of {core}, {depth} steps {pause} us apart: {} branches, {} ends, {} violations",
         all.branches,
-        all.ends,
-        all.broken.len()
+        all.completed_branches,
+        all.violations.len()
     );
-    for line in all.broken.iter().take(10) {
+    for line in all.violations.iter().take(10) {
         println!("{line}");
     }
-    assert!(all.broken.is_empty());
+    assert!(all.violations.is_empty());
 }
 
 fn number(variable: &str, default: u64) -> u64 {
@@ -322,21 +327,21 @@
     number("CONTROL_DEPTH", default) as usize
 }
 
-/// Guards against what no single trouble and no chance brings about, in a core of three.
+/// Guards against violations that only a sequence of several faults causes, in a core of three.
 #[test]
-fn all_sequences_of_disturbances_in_a_core_of_three() {
+fn all_step_sequences_in_a_core_of_three() {
     explore_all(3, depth(5), MIDDLE);
 }
 
-/// Guards against the same at other moments of a change.
+/// Guards against the same violations with steps at other moments of a change.
 #[test]
-fn all_sequences_of_early_and_late_disturbances() {
+fn all_step_sequences_with_early_and_late_pauses() {
     explore_all(3, depth(4), EARLY);
     explore_all(3, depth(4), LATE);
 }
 
-/// Guards against the same in a core of four, where a majority is three.
+/// Guards against the same violations in a core of four, where a majority is three.
 #[test]
-fn all_sequences_of_disturbances_in_a_core_of_four() {
+fn all_step_sequences_in_a_core_of_four() {
     explore_all(4, depth(4), MIDDLE);
 }
--- a/crates/control/tests/control/formation.rs
+++ b/crates/control/tests/control/formation.rs
@@ -1,16 +1,16 @@
-//! The first start under trouble, and how long a core does without a leader.
+//! The first start under faults, and how long a core is without a leader.
 
 use std::collections::BTreeSet;
 
 use pewterseam_control::{OperatorRequest, Outcome};
 
 use crate::simulation::cluster::{Cluster, MS, document};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 
-/// Guards against two cores, and against a core that never forms, where messages are lost, a seed stands still, or links
-/// of a seed are cut during the first start.
+/// Guards against two cores, and against a core that never forms, if messages are lost, a seed is suspended or the
+/// links of a seed are cut during the first start.
 #[test]
-fn trouble_at_the_first_start_gives_one_core() {
+fn faults_during_the_first_start_lead_to_one_core() {
     for seed in 0..300 {
         let mut cluster = Cluster::new(seed, 4, 3, 3);
         cluster.drop_percent = 10;
@@ -35,15 +35,15 @@
             .map(|control| control.core().iter().map(|member| member.name.to_string()).collect())
             .collect();
         assert_eq!(cores.len(), 1, "seed {seed}: {cores:?}");
-        assert_eq!(cluster.checks.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(cluster.checks.violations, Vec::<String>::new(), "seed {seed}");
         let accepted = call(&mut cluster, 6, 1, OperatorRequest::put(0, document(5, "x")));
         assert_eq!(accepted, Some(Outcome::Accepted { version: 5 }), "seed {seed}");
     }
 }
 
-/// Guards against a process that was killed during the first start and forms a core of its own when it is back.
+/// Guards against a process that is killed during the first start and forms a core of its own after its restart.
 #[test]
-fn a_process_that_starts_again_forms_nothing() {
+fn a_restarted_process_forms_no_core() {
     for seed in 0..50 {
         let mut cluster = Cluster::new(seed, 4, 2, 3);
         cluster.run(1_000 * MS + seed * 40 * MS);
@@ -52,7 +52,7 @@
         cluster.kill(victim);
         cluster.start_after(victim, 300 * MS);
         cluster.run(12_000 * MS);
-        assert_eq!(cluster.checks.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(cluster.checks.violations, Vec::<String>::new(), "seed {seed}");
         for node in 0..cluster.nodes.len() {
             let control = cluster.control(node).expect("runs");
             assert!(control.is_current(cluster.now), "seed {seed}: node {node}");
@@ -61,12 +61,12 @@
     }
 }
 
-/// Guards against a core that stays without a leader: after a leader's death the next one commits within 3.5 s.
+/// Guards against a core that remains without a leader: after the death of a leader the next one commits within 3.5 s.
 #[test]
-fn a_dead_leader_is_replaced_soon() {
-    let mut spans = Vec::new();
+fn a_dead_leader_is_replaced_within_3500_ms() {
+    let mut failover_times = Vec::new();
     for seed in 0..40 {
-        let mut cluster = formed(seed, 4, 3, 3);
+        let mut cluster = formed_cluster(seed, 4, 3, 3);
         let leader = cluster.leader().expect("a leader");
         cluster.kill(leader);
         let (start, index) = (cluster.now, cluster.control(5).expect("runs").index());
@@ -74,12 +74,12 @@
             cluster.run(10 * MS);
             assert!(cluster.now < start + 10_000 * MS, "seed {seed}: no leader");
         }
-        spans.push((cluster.now - start) / MS);
+        failover_times.push((cluster.now - start) / MS);
     }
-    spans.sort_unstable();
+    failover_times.sort_unstable();
     println!(
         "a new leader has committed {} ms after a leader's death (median), {} ms at most",
-        spans[20], spans[39]
+        failover_times[20], failover_times[39]
     );
-    assert!(spans[39] < 3_500);
+    assert!(failover_times[39] < 3_500);
 }
--- a/crates/control/tests/control/main.rs
+++ b/crates/control/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Control in whole simulated clusters.
+//! Tests of control in complete simulated clusters.
 
 mod catch_up;
 mod changes;
@@ -25,15 +25,15 @@
 use pewterseam_control::{OperatorRequest, Outcome, Token};
 use simulation::cluster::{Cluster, MS};
 
-/// A cluster some seconds after its first start.
-fn formed(seed: u64, core: usize, relays: usize, stores: usize) -> Cluster {
+/// A cluster four seconds after its first start, when the core has formed.
+fn formed_cluster(seed: u64, core: usize, relays: usize, stores: usize) -> Cluster {
     let mut cluster = Cluster::new(seed, core, relays, stores);
     cluster.run(4_000 * MS);
     cluster.bootstrap = false;
     cluster
 }
 
-/// One call of an operator, and its outcome within two seconds.
+/// Makes one operator call and returns its outcome, if it arrives within two seconds.
 fn call(cluster: &mut Cluster, node: usize, token: u64, request: OperatorRequest) -> Option<Outcome> {
     assert!(cluster.operator(node, Token(token), request));
     for _ in 0..200 {
--- a/crates/control/tests/control/many_changes.rs
+++ b/crates/control/tests/control/many_changes.rs
@@ -1,13 +1,13 @@
-//! Hundreds of changes, with members that are down, restarted, slow or without power meanwhile.
+//! Hundreds of changes, while members are down, restarted, slow or without power.
 
 use pewterseam_control::{Control, ControlSettings, OperatorRequest, Outcome, Stamp, Token};
 
 use crate::simulation::cluster::{Cluster, MS, document};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 
 const SECOND: u64 = 1_000 * MS;
 
-/// A note that makes a log reach its bound after some ten changes.
+/// The size of a note that makes the log reach its bound after about ten changes.
 const LARGE_NOTE: usize = 40_000;
 
 struct Changes {
@@ -18,10 +18,10 @@
 
 impl Changes {
     fn new(seed: u64, note: usize) -> Self {
-        Changes { cluster: formed(seed, 3, 2, 3), version: 0, note: "n".repeat(note) }
+        Changes { cluster: formed_cluster(seed, 3, 2, 3), version: 0, note: "n".repeat(note) }
     }
 
-    /// Changes, each sent until it is taken.
+    /// Makes changes; each order is sent until it is accepted.
     fn change(&mut self, times: usize) {
         for _ in 0..times {
             let version = self.version + 1;
@@ -31,13 +31,13 @@
                 let outcome = call(&mut self.cluster, 3, version, request.clone());
                 outcome == Some(Outcome::Accepted { version })
             });
-            assert!(is_taken, "version {version} was not taken");
+            assert!(is_taken, "version {version} was not accepted");
             self.cluster.checks.acknowledged(self.version, version, &change);
             self.version = version;
         }
     }
 
-    /// Gives a leader many orders at once, each on top of the one before, and waits for their answers.
+    /// Sends a leader many orders at once, each based on the one before, and waits for their answers.
     fn fill_queue(&mut self, leader: usize) {
         let first = self.version;
         for version in first + 1..=first + QUEUED {
@@ -62,8 +62,8 @@
         self.cluster.run(4 * SECOND);
     }
 
-    /// Every process knows the newest version, and nothing broke.
-    fn is_whole(&mut self, when: &str) {
+    /// Checks that every process knows the newest version, and that no check found a violation.
+    fn assert_all_current(&mut self, when: &str) {
         let Some(Outcome::Config(config)) = call(&mut self.cluster, 3, 1 << 40, OperatorRequest::ReadConfig)
         else {
             panic!("{when}: no configuration")
@@ -76,12 +76,12 @@
             assert!(control.is_current(self.cluster.now), "{when}: node {node}");
         }
         self.cluster.checks.finish();
-        assert_eq!(self.cluster.checks.broken, Vec::<String>::new(), "{when}");
+        assert_eq!(self.cluster.checks.violations, Vec::<String>::new(), "{when}");
     }
 }
 
-/// Guards against a member that never catches up, or that leads with an old state, after it was down through 300 or
-/// 1,000 changes, and power was lost everywhere: the logs are unequal then.
+/// Guards against a member that never catches up, or that leads with an old state, after it was down during 300 or
+/// 1,000 changes and all nodes lost power: the logs are then of different lengths.
 #[test]
 fn unequal_logs_lead_to_the_newest_state() {
     for (seed, changes) in [(1, 300), (2, 300), (3, 1_000)] {
@@ -90,14 +90,14 @@
         system.cluster.kill(seed as usize % 3);
         system.change(changes);
         system.lose_power_everywhere();
-        system.is_whole(&format!("seed {seed}, {changes} changes"));
+        system.assert_all_current(&format!("seed {seed}, {changes} changes"));
         system.change(1);
-        system.is_whole(&format!("seed {seed}, after one more"));
+        system.assert_all_current(&format!("seed {seed}, after one more"));
     }
 }
 
-/// Guards against snapshots and logs that do not fit each other at one of the boundaries between them: a member loses
-/// power after each change, over more than two snapshots.
+/// Guards against snapshots and logs that do not match at one of the boundaries between them: a member loses power
+/// after each change, over more than two snapshots.
 #[test]
 fn a_restart_at_each_boundary_of_the_log_loses_nothing() {
     for seed in 0..3 {
@@ -113,16 +113,16 @@
         }
         assert!(snapshots > 10, "seed {seed}: {snapshots} restarts on a snapshot");
         system.cluster.run(3 * SECOND);
-        system.is_whole(&format!("seed {seed}"));
+        system.assert_all_current(&format!("seed {seed}"));
         system.lose_power_everywhere();
-        system.is_whole(&format!("seed {seed}, after power was lost everywhere"));
+        system.assert_all_current(&format!("seed {seed}, after power was lost everywhere"));
     }
 }
 
-/// Guards against a snapshot that counts before it is on the disk: the disk of one member takes 2 s for each write, and
-/// power is lost in the middle.
+/// Guards against using a snapshot before it is on the disk: one member's disk takes 2 s for each write, and power is
+/// lost during that time.
 #[test]
-fn power_lost_in_mid_snapshot_loses_nothing() {
+fn power_loss_during_a_snapshot_loses_nothing() {
     for seed in 0..8 {
         let mut system = Changes::new(seed, LARGE_NOTE);
         let slow = seed as usize % 3;
@@ -135,21 +135,22 @@
         system.cluster.run(SECOND);
         system.change(1);
         system.lose_power_everywhere();
-        system.is_whole(&format!("seed {seed}"));
+        system.assert_all_current(&format!("seed {seed}"));
     }
 }
 
-/// The state that a member would start with, were it to start from its disk as it is.
+/// The stamp of the state that a member would recover from its disk at this moment.
 fn stamp_on_disk(cluster: &Cluster, member: usize) -> Stamp {
     let node = &cluster.nodes[member];
     let control = Control::new(0, &node.info, ControlSettings::default(), node.disk.log(), 1);
     control.expect("the log can be read").accepted_stamp()
 }
 
-/// Guards against a member with a full disk that holds up the others, that counts although nothing is synced there, or
-/// whose log does not go on where it was: nothing is synced, snapshots neither, until it is started again with room.
+/// Guards against a member with a full disk that delays the others, that counts towards a majority although nothing is
+/// synced there, or whose log does not continue where it ended. No writes and no snapshots are synced until the member
+/// is restarted with free space.
 #[test]
-fn a_full_disk_of_one_member_holds_nothing_up() {
+fn a_full_disk_of_one_member_does_not_delay_others() {
     for seed in 0..8 {
         let mut system = Changes::new(seed, LARGE_NOTE);
         system.change(8);
@@ -158,13 +159,13 @@
         system.cluster.disk_delays.insert(full, 1_000 * SECOND);
         let start = system.cluster.now;
         system.change(40);
-        assert!(system.cluster.now < start + 4 * SECOND, "seed {seed}: the others were held up");
+        assert!(system.cluster.now < start + 4 * SECOND, "seed {seed}: the other members were delayed");
         let third = 3 - leader - full;
         system.cluster.kill(third);
         let next = OperatorRequest::put(system.version, document(system.version + 1, &system.note));
         let outcome = call(&mut system.cluster, 3, system.version + 1, next);
         let is_taken = matches!(outcome, Some(Outcome::Accepted { .. }));
-        assert!(!is_taken, "seed {seed}: taken with one disk of three");
+        assert!(!is_taken, "seed {seed}: accepted with one disk of three");
         system.cluster.start_after(third, 0);
         system.cluster.run(2 * SECOND);
         system.change(1);
@@ -172,17 +173,17 @@
         system.cluster.disk_delays.clear();
         system.cluster.start_after(full, 500 * MS);
         system.cluster.run(3 * SECOND);
-        system.is_whole(&format!("seed {seed}"));
+        system.assert_all_current(&format!("seed {seed}"));
         let known = system.cluster.control(full).expect("runs").accepted_stamp();
         assert_eq!(stamp_on_disk(&system.cluster, full), known, "seed {seed}: the log is behind");
         system.lose_power_everywhere();
-        system.is_whole(&format!("seed {seed}, after power was lost everywhere"));
+        system.assert_all_current(&format!("seed {seed}, after power was lost everywhere"));
     }
 }
 
-/// Guards against a log that is cut short or damaged and is taken for a whole one.
+/// Guards against using a truncated or damaged log as if it were complete.
 #[test]
-fn a_damaged_snapshot_is_refused() {
+fn a_damaged_log_is_rejected() {
     let mut system = Changes::new(4, LARGE_NOTE);
     system.change(20);
     let (snapshot, records) = system.cluster.nodes[0].disk.log();
@@ -216,13 +217,13 @@
     }
 }
 
-/// Orders that a leader has in its queue at a time.
+/// The number of orders in a leader's queue at a time.
 const QUEUED: u64 = 60;
 
-/// Guards against steady changes that keep a successor out of the core, as it never knows the very newest one: the
-/// leader's queue does not run empty.
+/// Guards against steady changes that keep a successor out of the core because it never knows the very newest change:
+/// the leader's queue is never empty.
 #[test]
-fn steady_changes_do_not_hold_up_a_repair() {
+fn steady_changes_do_not_prevent_a_repair() {
     for seed in 0..10 {
         let mut system = Changes::new(seed, 200);
         let leader = system.cluster.leader().expect("a leader");
@@ -237,6 +238,6 @@
         let core = system.cluster.control(leader).expect("runs").core_membership().clone();
         assert!(core.current().iter().any(|member| Some(member.disk) == disk), "seed {seed}: {core:?}");
         assert!(system.version > 200, "seed {seed}: only version {}", system.version);
-        system.is_whole(&format!("seed {seed}"));
+        system.assert_all_current(&format!("seed {seed}"));
     }
 }
--- a/crates/control/tests/control/orders.rs
+++ b/crates/control/tests/control/orders.rs
@@ -1,21 +1,21 @@
-//! Two operators, and orders that are sent again.
+//! Concurrent operators, and orders that are sent again.
 
 use bytes::Bytes;
 
-use crate::simulation::cluster::{Cluster, DiskTrouble, MS, document, patch};
+use crate::simulation::cluster::{Cluster, DiskFault, MS, document, patch};
 use crate::simulation::history::check;
 use crate::simulation::operators::{Operator, run};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 use pewterseam_control::{OperatorRequest, Outcome, Token};
 
-/// Changes that the state remembers.
-const REMEMBERED: u64 = 1_000;
+/// The number of accepted changes that the state remembers.
+const REMEMBERED_CHANGES: u64 = 1_000;
 
 fn accepted(version: u64) -> Option<Outcome> {
     Some(Outcome::Accepted { version })
 }
 
-/// The outcomes of a call that was made with this token.
+/// Removes and returns the outcomes of the call with this token.
 pub fn outcomes(cluster: &mut Cluster, token: u64) -> Vec<Outcome> {
     let (found, others) =
         std::mem::take(&mut cluster.answers).into_iter().partition(|(_, answered, _)| answered.0 == token);
@@ -24,33 +24,34 @@
     found.into_iter().map(|(_, _, outcome)| outcome).collect()
 }
 
-/// Makes the changes from a version to another, one after the other.
-fn change_on(cluster: &mut Cluster, from: u64, to: u64) {
+/// Makes the changes from one version to another, one after the other.
+fn make_changes(cluster: &mut Cluster, from: u64, to: u64) {
     for version in from..to {
         let request = OperatorRequest::put(version, document(version + 1, "one of many"));
         assert_eq!(call(cluster, 3, 1_000_000 + version, request), accepted(version + 1));
     }
 }
 
-/// Guards against a refusal of a change that was taken and forgotten, and against a refusal that is held back without need.
+/// Guards against rejecting a change that was accepted and forgotten, and against an unknown outcome where a clear
+/// rejection is possible.
 #[test]
-fn a_forgotten_order_has_no_clear_answer() {
-    let mut cluster = formed(5, 3, 2, 3);
+fn a_forgotten_order_has_an_unknown_outcome() {
+    let mut cluster = formed_cluster(5, 3, 2, 3);
     let first = OperatorRequest::put(0, document(1, "first"));
     let second = OperatorRequest::patch(1, patch(2, 77));
     assert_eq!(call(&mut cluster, 3, 1, first.clone()), accepted(1));
     assert_eq!(call(&mut cluster, 3, 2, second.clone()), accepted(2));
-    change_on(&mut cluster, 2, REMEMBERED);
-    // All are remembered.
+    make_changes(&mut cluster, 2, REMEMBERED_CHANGES);
+    // All changes are remembered.
     assert_eq!(call(&mut cluster, 4, 3, first.clone()), accepted(1));
-    change_on(&mut cluster, REMEMBERED, REMEMBERED + 1);
-    // One is not.
+    make_changes(&mut cluster, REMEMBERED_CHANGES, REMEMBERED_CHANGES + 1);
+    // One change is forgotten.
     assert_eq!(call(&mut cluster, 4, 4, first.clone()), Some(Outcome::Unknown));
     assert_eq!(call(&mut cluster, 4, 5, second.clone()), accepted(2));
-    let newest = REMEMBERED + 1;
+    let newest = REMEMBERED_CHANGES + 1;
     let other = OperatorRequest::put(1, document(2, "another on the version of the second"));
     assert_eq!(call(&mut cluster, 4, 6, other), Some(Outcome::Conflict { current: newest }));
-    // The same after all have started again, from snapshots and logs.
+    // The same holds after all nodes have restarted from snapshots and logs.
     for node in 0..cluster.nodes.len() {
         cluster.lose_power(node);
         cluster.start_after(node, 100 * MS);
@@ -62,11 +63,11 @@
     assert_eq!(call(&mut cluster, 3, 9, last), accepted(newest));
 }
 
-/// Guards against a change that is taken for another with the same bytes: A, then B, then A again is three changes, and
-/// each that is sent again is acknowledged as what it was.
+/// Guards against confusing changes with the same bytes: A, then B, then A again are three changes, and each one that
+/// is sent again gets its own answer again.
 #[test]
-fn the_same_bytes_on_another_version_are_another_order() {
-    let mut cluster = formed(7, 3, 2, 3);
+fn the_same_bytes_based_on_another_version_are_another_order() {
+    let mut cluster = formed_cluster(7, 3, 2, 3);
     let timeout = |version: u64, timeout: u64| patch(version, timeout);
     assert_eq!(call(&mut cluster, 3, 1, OperatorRequest::put(0, document(1, "first"))), accepted(1));
     let orders = [
@@ -80,19 +81,19 @@
     for (order, version) in orders.iter().zip(2..) {
         assert_eq!(call(&mut cluster, 3, 10 + version, order.clone()), accepted(version));
     }
-    // The bytes of the first on top of the newest version name a version that is not above it.
+    // The first change's bytes, based on the newest version, name a version that is not above it.
     let stale = OperatorRequest::patch(4, timeout(2, 100));
     assert!(matches!(call(&mut cluster, 3, 20, stale), Some(Outcome::Invalid { .. })));
-    // The same text as a whole document and as a change are two orders.
+    // The same text as a complete document and as a patch are two different orders.
     let whole = OperatorRequest::put(1, timeout(2, 100));
     assert_eq!(call(&mut cluster, 3, 21, whole), Some(Outcome::Conflict { current: 4 }));
 }
 
-/// Guards against two answers to one question: other spacing or another order of keys is not the order sent unchanged. It
-/// is another order on a version that has gone, whichever member is asked.
+/// Guards against treating a reformatted order as the one sent before: other spacing or another order of keys makes a
+/// different order, and it is based on an outdated version, whichever member is asked.
 #[test]
-fn an_order_is_its_bytes() {
-    let mut cluster = formed(8, 3, 2, 3);
+fn a_reformatted_order_is_another_order() {
+    let mut cluster = formed_cluster(8, 3, 2, 3);
     let text = document(1, "first");
     assert_eq!(call(&mut cluster, 3, 1, OperatorRequest::put(0, text.clone())), accepted(1));
     let spaced = Bytes::from(String::from_utf8_lossy(&text).replace(':', ": "));
@@ -104,12 +105,12 @@
     }
 }
 
-/// Guards against an order that is taken twice or refused while its first copy waits, and against a member that has not
-/// applied the commit: the same order goes to all members at once, and again at once after each answer.
+/// Guards against an order that is accepted twice or rejected while its first copy waits, and against a member that
+/// has not applied the commit: the same order goes to all members at once, and again at once after each answer.
 #[test]
 fn copies_of_one_order_get_one_outcome() {
     for seed in 0..50 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         assert_eq!(call(&mut cluster, 3, 1, OperatorRequest::put(0, document(1, "first"))), accepted(1));
         let order = OperatorRequest::put(1, document(2, "once"));
         let other = OperatorRequest::put(1, document(2, "the other operator's"));
@@ -122,9 +123,9 @@
             }
         }
         cluster.run(1_000 * MS);
-        let told: Vec<Vec<Outcome>> = (0..10).map(|copy| outcomes(&mut cluster, 100 + copy)).collect();
-        let winner = if told[0] == [Outcome::Accepted { version: 2 }] { 0 } else { 1 };
-        for (copy, outcome) in told.iter().enumerate() {
+        let answer: Vec<Vec<Outcome>> = (0..10).map(|copy| outcomes(&mut cluster, 100 + copy)).collect();
+        let winner = if answer[0] == [Outcome::Accepted { version: 2 }] { 0 } else { 1 };
+        for (copy, outcome) in answer.iter().enumerate() {
             let expected = match copy % 2 == winner {
                 true => Outcome::Accepted { version: 2 },
                 false => Outcome::Conflict { current: 2 },
@@ -138,44 +139,46 @@
     }
 }
 
-/// Guards against a state that is installed whole and has lost what was taken: a member that slept through more than the
-/// history holds leads, and is asked again.
+/// Guards against forgetting accepted changes when a complete state is installed: a member that missed more entries
+/// than the history holds becomes leader and gets the same orders again.
 #[test]
-fn orders_are_remembered_across_an_install() {
-    let mut cluster = formed(9, 3, 2, 3);
-    let sleeper = (cluster.leader().expect("leads") + 1) % 3;
+fn orders_are_remembered_after_a_state_transfer() {
+    let mut cluster = formed_cluster(9, 3, 2, 3);
+    let lagging_member = (cluster.leader().expect("leads") + 1) % 3;
     assert_eq!(call(&mut cluster, 3, 1, OperatorRequest::put(0, document(1, "first"))), accepted(1));
-    cluster.kill(sleeper);
-    change_on(&mut cluster, 1, 120);
-    cluster.start_after(sleeper, 10 * MS);
+    cluster.kill(lagging_member);
+    make_changes(&mut cluster, 1, 120);
+    cluster.start_after(lagging_member, 10 * MS);
     cluster.run(4_000 * MS);
-    let other = (0..3).find(|node| *node != sleeper).expect("three");
-    // Only the one that slept, and one other, are left.
+    let other = (0..3).find(|node| *node != lagging_member).expect("three");
+    // Only the member that was down and one other are left.
     cluster.kill(other);
     cluster.run(6_000 * MS);
     for version in [1, 60, 120] {
         let note = if version == 1 { "first" } else { "one of many" };
         let again = OperatorRequest::put(version - 1, document(version, note));
-        assert_eq!(call(&mut cluster, sleeper, 500 + version, again), accepted(version));
+        assert_eq!(call(&mut cluster, lagging_member, 500 + version, again), accepted(version));
     }
 }
 
-/// Guards against a change without a base that passes on top of one: a missing `If-Match` counts as 0.
+/// Guards against accepting a change without a base version on top of an existing version: a missing `If-Match` counts
+/// as 0.
 #[test]
 fn an_order_on_version_0_is_the_first_or_none() {
-    let mut cluster = formed(10, 3, 2, 3);
+    let mut cluster = formed_cluster(10, 3, 2, 3);
     assert_eq!(call(&mut cluster, 3, 1, OperatorRequest::put(0, document(4, "first"))), accepted(4));
     let without = OperatorRequest::put(0, document(5, "without a base"));
     assert_eq!(call(&mut cluster, 3, 2, without), Some(Outcome::Conflict { current: 4 }));
 }
 
-/// Two operators write from the same version at two members while something happens. Returns what broke.
-fn race(seed: u64, happens: impl Fn(&mut Cluster, u64)) -> (Vec<String>, usize) {
-    let mut cluster = formed(seed, 3, 2, 3);
+/// Operators write concurrently at several members while faults happen. Returns the violations, and the number of
+/// calls.
+fn run_concurrent_operators(seed: u64, inject: impl Fn(&mut Cluster, u64)) -> (Vec<String>, usize) {
+    let mut cluster = formed_cluster(seed, 3, 2, 3);
     let mut operators = [Operator::new(1, 5), Operator::new(2, 5), Operator::new(3, 5)];
     for round in 0..4 {
         run(&mut cluster, &mut operators, (100 + (seed * 37 + round * 211) % 900) * MS);
-        happens(&mut cluster, round);
+        inject(&mut cluster, round);
         run(&mut cluster, &mut operators, 2_500 * MS);
         cluster.heal();
     }
@@ -185,29 +188,29 @@
     run(&mut cluster, &mut operators, 8_000 * MS);
     let histories: Vec<_> = operators.iter().map(|operator| operator.history.clone()).collect();
     let completed = histories.iter().map(Vec::len).sum();
-    let mut broken = std::mem::take(&mut cluster.checks.broken);
-    broken.extend(check(&histories).err().map(|found| format!("{found:?}")));
+    let mut violations = std::mem::take(&mut cluster.checks.violations);
+    violations.extend(check(&histories).err().map(|found| format!("{found:?}")));
     cluster.checks.finish();
-    broken.append(&mut cluster.checks.broken);
-    (broken, completed)
+    violations.append(&mut cluster.checks.violations);
+    (violations, completed)
 }
 
-fn races(name: &str, happens: impl Fn(&mut Cluster, u64)) {
-    let (mut broken, mut completed) = (Vec::new(), 0);
+fn check_histories(name: &str, inject: impl Fn(&mut Cluster, u64)) {
+    let (mut violations, mut completed) = (Vec::new(), 0);
     for seed in 0..200 {
-        let (found, calls) = race(seed, &happens);
-        broken.extend(found.into_iter().map(|line| format!("seed {seed}: {line}")));
+        let (found, calls) = run_concurrent_operators(seed, &inject);
+        violations.extend(found.into_iter().map(|line| format!("seed {seed}: {line}")));
         completed += calls;
     }
-    println!("{name}: {completed} calls in 200 histories, {} lines broken", broken.len());
-    assert_eq!(broken, Vec::<String>::new());
-    assert!(completed > 200 * 20, "the operators got hardly anything done");
+    println!("{name}: {completed} calls in 200 histories, {} violations", violations.len());
+    assert_eq!(violations, Vec::<String>::new());
+    assert!(completed > 200 * 20, "the operators completed too few calls");
 }
 
-/// Guards against two changes on one version, and old reads, while the leader changes.
+/// Guards against two changes on one version, and stale reads, while the leader changes.
 #[test]
-fn histories_hold_across_changes_of_leader() {
-    races("changes of leader", |cluster, round| {
+fn histories_are_linearizable_across_leader_changes() {
+    check_histories("changes of leader", |cluster, round| {
         let Some(leader) = cluster.leader() else { return };
         match round % 3 {
             0 => cluster.kill(leader),
@@ -220,10 +223,10 @@
     });
 }
 
-/// Guards against the same on the two sides of a cut, where each operator reaches members of both.
+/// Guards against the same failures on the two sides of a cut, where each operator reaches members of both sides.
 #[test]
-fn histories_hold_across_cuts() {
-    races("cuts", |cluster, round| {
+fn histories_are_linearizable_across_cuts() {
+    check_histories("cuts", |cluster, round| {
         let leader = cluster.leader().unwrap_or(0);
         let side = [leader, 3 + (round % 2) as usize];
         for from in 0..cluster.nodes.len() {
@@ -237,18 +240,18 @@
     });
 }
 
-/// Guards against answers that rest on clocks: a leader whose clock runs eight times too slow is cut from its followers,
-/// and leads on as far as it knows, while another is elected. Both are asked by operators.
+/// Guards against answers that depend on clocks: a leader whose clock runs eight times too slow is cut off from its
+/// followers and still believes that it leads, while another member is elected. Operators ask both.
 #[test]
-fn no_answer_rests_on_clocks() {
+fn no_answer_depends_on_clocks() {
     let mut both_led = 0;
     for seed in 0..100 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         let mut operators = [Operator::new(1, 5), Operator::new(2, 5), Operator::new(3, 5)];
         run(&mut cluster, &mut operators, 1_000 * MS + seed * 11 * MS);
         let old = cluster.leader().expect("leads");
         cluster.slow_clock(old, 8);
-        // Relays and operators reach everybody; members of the core do not reach each other.
+        // Relays and operators reach all nodes; the core members do not reach each other.
         for other in (0..3).filter(|other| *other != old) {
             cluster.cuts.insert((old, other));
             cluster.cuts.insert((other, old));
@@ -264,29 +267,30 @@
         }
         run(&mut cluster, &mut operators, 8_000 * MS);
         let histories: Vec<_> = operators.iter().map(|operator| operator.history.clone()).collect();
-        let mut broken = std::mem::take(&mut cluster.checks.broken);
-        broken.extend(check(&histories).err().map(|found| format!("{found:?}")));
+        let mut violations = std::mem::take(&mut cluster.checks.violations);
+        violations.extend(check(&histories).err().map(|found| format!("{found:?}")));
         cluster.checks.finish();
-        broken.append(&mut cluster.checks.broken);
-        assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
+        violations.append(&mut cluster.checks.violations);
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
     }
     println!("two led at {both_led} of 6,000 moments");
     assert!(both_led > 2_000, "{both_led}");
 }
 
-/// Guards against a leader that answers before an entry of its own epoch is committed: it does not know yet what the last
-/// one committed. The old leader's word of the commit reaches the operator alone, and the others' disks are slow.
+/// Guards against a leader that answers before an entry of its own epoch is committed: it does not know yet what the
+/// previous leader committed. The previous leader's answer about the commit reaches only the operator, and the other
+/// members' disks are slow.
 #[test]
 fn a_new_leader_answers_after_its_first_entry() {
     let mut asked_in_time = 0;
     for seed in 0..60 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         assert_eq!(call(&mut cluster, 3, 1, OperatorRequest::put(0, document(1, "first"))), accepted(1));
         cluster.run(1_000 * MS);
         let old = cluster.leader().expect("leads");
         let members: Vec<usize> = (0..3).filter(|member| *member != old).collect();
         cluster.operator(3, Token(2), OperatorRequest::put(1, document(2, "second")));
-        // Until the leader has committed it, and tells the others so.
+        // Run until the leader has committed the change and reports the commit to the others.
         while cluster.control(old).expect("runs").state().config.version == 1 {
             cluster.run(MS / 10);
         }
@@ -296,12 +300,12 @@
         cluster.run(20 * MS);
         assert_eq!(outcomes(&mut cluster, 2), [Outcome::Accepted { version: 2 }], "seed {seed}");
         cluster.kill(old);
-        // Nor does the relay that heard of it tell anybody.
+        // The relay that learned of the commit cannot report it to anyone either.
         for node in (0..8).filter(|node| *node != 3) {
             cluster.cuts.insert((3, node));
         }
         for member in &members {
-            cluster.disks.insert(*member, DiskTrouble::Slow(250 * MS));
+            cluster.disks.insert(*member, DiskFault::Slow(250 * MS));
         }
         let versions = |cluster: &Cluster| {
             let known =
@@ -324,6 +328,6 @@
         assert!(versions.len() > 50, "seed {seed}: {} answers", versions.len());
         assert!(versions.iter().all(|version| *version == 2), "seed {seed}: {versions:?}");
     }
-    println!("{asked_in_time} of 60 seeds bring the trouble about");
+    println!("{asked_in_time} of 60 seeds reproduce the situation");
     assert!(asked_in_time > 40, "{asked_in_time}");
 }
--- a/crates/control/tests/control/other_epochs.rs
+++ b/crates/control/tests/control/other_epochs.rs
@@ -1,8 +1,8 @@
-//! Messages of other epochs and other rounds count for nothing.
+//! Messages of other epochs and rounds must not be counted.
 //!
-//! A promise, and the answer to a heartbeat, that counted whatever their epoch passed all tests of this package: on the
-//! simulated network no message outlived the election that it belonged to. Here a member of a core of three stands alone, and
-//! is told what may come late.
+//! On the simulated network no message outlives the election that it belongs to. A promise or a heartbeat answer that
+//! was counted whatever its epoch therefore passed all other tests of this package. Here one member of a core of three
+//! runs alone, and the test sends it messages that may arrive late.
 
 use pewterseam_control::{
     Control, ControlMessage, ControlSettings, CoreMember, Effect, Entry, OperatorRequest, Outcome, Stamp,
@@ -11,12 +11,12 @@
 use pewterseam_wire::identity::NodeName;
 
 use crate::simulation::cluster::{MS, document};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 
-/// A leader has begun another round of heartbeats by then.
+/// A leader starts another round of heartbeats within this time.
 const ROUND_PERIOD: u64 = 600 * MS;
 
-/// A member of the core whose peers are played by the test. Its disk syncs at once.
+/// A core member whose peers are simulated by the test. Its disk syncs at once.
 pub struct Member {
     pub control: Control,
     name: NodeName,
@@ -27,9 +27,9 @@
 }
 
 impl Member {
-    /// Member 0 of a core that has agreed on a configuration, after a start.
+    /// Member 0 of a core that has agreed on a configuration, after a restart.
     fn of_formed_core() -> Self {
-        let mut cluster = formed(1, 3, 2, 3);
+        let mut cluster = formed_cluster(1, 3, 2, 3);
         call(&mut cluster, 3, 1, OperatorRequest::put(0, document(5, "first")));
         cluster.run(1_000 * MS);
         let node = &cluster.nodes[0];
@@ -45,42 +45,42 @@
             sent: Vec::new(),
             answers: Vec::new(),
         };
-        member.pass(0);
+        member.run(0);
         member
     }
 
-    /// One that stands for an epoch, which is returned.
-    fn standing() -> (Self, u64) {
+    /// A member that is a pre-candidate for an epoch, with that epoch.
+    fn pre_candidate() -> (Self, u64) {
         let mut member = Member::of_formed_core();
-        let epoch = member.stand();
+        let epoch = member.become_pre_candidate();
         (member, epoch)
     }
 
-    fn stand(&mut self) -> u64 {
+    fn become_pre_candidate(&mut self) -> u64 {
         self.wait_for(|message| match message {
             ControlMessage::PreVote { epoch } => Some(*epoch),
             _ => None,
         })
     }
 
-    /// One that was granted the pre-vote, and gathers promises.
+    /// A member that was granted the pre-vote and collects promises, with its epoch.
     fn candidate() -> (Self, u64) {
-        let (mut member, epoch) = Member::standing();
+        let (mut member, epoch) = Member::pre_candidate();
         member.pre_vote_answers(epoch);
         (member, epoch)
     }
 
-    /// One that leads and serves.
+    /// A member that leads and serves, with its epoch.
     fn leader() -> (Self, u64) {
         let mut member = Member::of_formed_core();
-        let epoch = member.come_to_lead();
+        let epoch = member.become_leader();
         (member, epoch)
     }
 
-    /// Stands for an epoch, which is returned, and leads and serves.
-    pub fn come_to_lead(&mut self) -> u64 {
+    /// Makes the member a leader that serves, and returns its epoch.
+    pub fn become_leader(&mut self) -> u64 {
         self.sent.clear();
-        let epoch = self.stand();
+        let epoch = self.become_pre_candidate();
         self.pre_vote_answers(epoch);
         self.promises(epoch);
         let entry = self.proposed().expect("the first entry of its epoch");
@@ -89,26 +89,26 @@
         epoch
     }
 
-    /// What a leader answers to a call once its next round of heartbeats is answered.
-    pub fn ask(&mut self, epoch: u64, request: OperatorRequest) -> Option<Outcome> {
+    /// The leader's answer to a call once its next round of heartbeats is answered.
+    pub fn request_as_operator(&mut self, epoch: u64, request: OperatorRequest) -> Option<Outcome> {
         self.answers.clear();
         let effects = self.control.operator(self.now, Token(7), request);
-        self.carry_out(effects);
-        self.pass(ROUND_PERIOD);
+        self.execute(effects);
+        self.run(ROUND_PERIOD);
         self.heartbeat_answers(epoch, self.round());
         self.answers.pop().map(|(_, outcome)| outcome)
     }
 
-    /// One that has promised an epoch to the first of the others; both are returned.
-    pub fn after_a_promise() -> (Self, CoreMember, u64) {
+    /// A member that has promised an epoch to the first of the others, with that peer and the epoch.
+    pub fn with_promise() -> (Self, CoreMember, u64) {
         let mut member = Member::of_formed_core();
         let other = member.others[0].clone();
         let epoch = member.control.accepted_stamp().epoch + 5;
-        member.hear(&other, ControlMessage::Prepare { epoch });
+        member.receive(&other, ControlMessage::Prepare { epoch });
         (member, other, epoch)
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             let more = match effect {
                 Effect::Send { to, message } if to == self.name => {
@@ -127,40 +127,40 @@
                 }
                 _ => continue,
             };
-            self.carry_out(more);
+            self.execute(more);
         }
     }
 
-    fn pass(&mut self, span: u64) {
+    fn run(&mut self, span: u64) {
         self.now += span;
         let effects = self.control.tick(self.now);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
-    /// Lets time pass until a message is sent that tells something.
+    /// Lets time pass until the member sends a message for which `tells` returns a value.
     fn wait_for<T>(&mut self, tells: impl Fn(&ControlMessage) -> Option<T>) -> T {
         for _ in 0..1_000 {
             if let Some(told) = self.sent.iter().find_map(&tells) {
                 return told;
             }
-            self.pass(10 * MS);
+            self.run(10 * MS);
         }
         panic!("nothing is sent");
     }
 
-    pub fn hear(&mut self, from: &CoreMember, message: ControlMessage) {
+    pub fn receive(&mut self, from: &CoreMember, message: ControlMessage) {
         let effects = self.control.message(self.now, &from.name, message);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
-    fn hear_from_all(&mut self, message: impl Fn(&CoreMember) -> ControlMessage) {
+    fn receive_from_all(&mut self, message: impl Fn(&CoreMember) -> ControlMessage) {
         for other in self.others.clone() {
-            self.hear(&other, message(&other));
+            self.receive(&other, message(&other));
         }
     }
 
     fn pre_vote_answers(&mut self, epoch: u64) {
-        self.hear_from_all(|member| ControlMessage::PreVoteAnswer {
+        self.receive_from_all(|member| ControlMessage::PreVoteAnswer {
             epoch,
             member: member.clone(),
             granted: true,
@@ -169,16 +169,16 @@
 
     fn promises(&mut self, epoch: u64) {
         let stamp = self.control.accepted_stamp();
-        self.hear_from_all(|member| ControlMessage::Promise { epoch, member: member.clone(), stamp });
+        self.receive_from_all(|member| ControlMessage::Promise { epoch, member: member.clone(), stamp });
     }
 
     fn accept_answers(&mut self, epoch: u64, stamp: Stamp) {
-        self.hear_from_all(|member| ControlMessage::AcceptAnswer { epoch, member: member.clone(), stamp });
+        self.receive_from_all(|member| ControlMessage::AcceptAnswer { epoch, member: member.clone(), stamp });
     }
 
     fn heartbeat_answers(&mut self, epoch: u64, round: u64) {
         let committed = self.control.index();
-        self.hear_from_all(|member| ControlMessage::HeartbeatAnswer {
+        self.receive_from_all(|member| ControlMessage::HeartbeatAnswer {
             epoch,
             round,
             member: member.clone(),
@@ -211,10 +211,10 @@
     }
 }
 
-/// Guards against a candidate that stands although nobody would promise it this epoch.
+/// Guards against a member that becomes a candidate although no other member would promise it this epoch.
 #[test]
-fn a_pre_vote_of_another_epoch_counts_for_nothing() {
-    let (mut member, epoch) = Member::standing();
+fn a_pre_vote_of_another_epoch_is_not_counted() {
+    let (mut member, epoch) = Member::pre_candidate();
     for other in [epoch - 1, epoch + 1] {
         member.pre_vote_answers(other);
         assert!(!member.has_asked_for_promises(), "{other} in place of {epoch}");
@@ -223,11 +223,11 @@
     assert!(member.has_asked_for_promises());
 }
 
-/// Guards against a refused pre-vote that counts.
+/// Guards against counting a pre-vote that was not granted.
 #[test]
-fn a_pre_vote_that_is_not_granted_counts_for_nothing() {
-    let (mut member, epoch) = Member::standing();
-    member.hear_from_all(|other| ControlMessage::PreVoteAnswer {
+fn a_rejected_pre_vote_is_not_counted() {
+    let (mut member, epoch) = Member::pre_candidate();
+    member.receive_from_all(|other| ControlMessage::PreVoteAnswer {
         epoch,
         member: other.clone(),
         granted: false,
@@ -235,9 +235,10 @@
     assert!(!member.has_asked_for_promises());
 }
 
-/// Guards against two leaders: members that promised another epoch may have promised this one to somebody else.
+/// Guards against two leaders of an epoch: members that promised another epoch may have promised this one to another
+/// candidate.
 #[test]
-fn a_promise_of_another_epoch_counts_for_nothing() {
+fn a_promise_of_another_epoch_is_not_counted() {
     let (mut member, epoch) = Member::candidate();
     for other in [epoch - 1, epoch + 1] {
         member.promises(other);
@@ -247,16 +248,17 @@
     assert!(member.control.is_leader());
 }
 
-/// Guards against a leader by its own promise alone.
+/// Guards against a candidate that leads with only its own promise.
 #[test]
 fn a_candidate_needs_a_majority_of_promises() {
     let (member, _) = Member::candidate();
     assert!(!member.control.is_leader(), "its own promise is synced");
 }
 
-/// Guards against a change that counts as accepted by members which accepted it of an earlier leader, or another entry.
+/// Guards against counting a change as accepted by members that accepted it from an earlier leader, or that accepted
+/// another entry.
 #[test]
-fn an_acceptance_of_another_epoch_or_entry_counts_for_nothing() {
+fn an_acceptance_of_another_epoch_or_entry_is_not_counted() {
     let (mut member, epoch) = Member::candidate();
     member.promises(epoch);
     let entry = member.proposed().expect("the first entry of its epoch");
@@ -271,13 +273,13 @@
     assert_eq!(member.control.index(), entry.stamp.index);
 }
 
-/// Guards against a read that is confirmed by answers of another epoch: a newer leader may have been followed meanwhile.
+/// Guards against a read that is confirmed by answers of another epoch: members may follow a newer leader by then.
 #[test]
-fn a_heartbeat_answered_in_another_epoch_confirms_no_read() {
+fn a_heartbeat_answer_of_another_epoch_confirms_no_read() {
     let (mut member, epoch) = Member::leader();
     let effects = member.control.operator(member.now, Token(7), OperatorRequest::ReadConfig);
-    member.carry_out(effects);
-    member.pass(ROUND_PERIOD);
+    member.execute(effects);
+    member.run(ROUND_PERIOD);
     let round = member.round();
     for other in [epoch - 1, epoch + 1] {
         member.heartbeat_answers(other, round);
@@ -287,25 +289,25 @@
     assert!(matches!(member.answers[..], [(Token(7), Outcome::Config(_))]), "{:?}", member.answers);
 }
 
-/// Guards against a read that is confirmed by a round of heartbeats which began before it.
+/// Guards against a read that is confirmed by a round of heartbeats that began before the read.
 #[test]
 fn a_heartbeat_of_an_earlier_round_confirms_no_read() {
     let (mut member, epoch) = Member::leader();
-    member.pass(300 * MS);
+    member.run(300 * MS);
     let before = member.round();
     let effects = member.control.operator(member.now, Token(7), OperatorRequest::ReadConfig);
-    member.carry_out(effects);
+    member.execute(effects);
     member.heartbeat_answers(epoch, before);
     assert_eq!(member.answers, []);
 }
 
-/// Guards against a leader that stays one by answers of another epoch.
+/// Guards against a leader that keeps its leadership by answers of another epoch.
 #[test]
-fn a_heartbeat_answered_in_another_epoch_keeps_no_leader() {
+fn a_heartbeat_answer_of_another_epoch_does_not_keep_a_leader() {
     for (answered, leads) in [(0, true), (-1, false), (1, false)] {
         let (mut member, epoch) = Member::leader();
         for _ in 0..40 {
-            member.pass(100 * MS);
+            member.run(100 * MS);
             if member.control.is_leader() {
                 let round = member.round();
                 member.heartbeat_answers(epoch.saturating_add_signed(answered), round);
@@ -315,30 +317,30 @@
     }
 }
 
-/// Guards against a leader that gives way to an epoch which is not above its own.
+/// Guards against a leader that steps down for an epoch that is not above its own.
 #[test]
-fn only_a_higher_promise_ends_a_leader() {
+fn a_leader_steps_down_only_for_a_higher_promise() {
     let (mut member, epoch) = Member::leader();
     let other = member.others[0].clone();
     for promised in [epoch - 1, epoch] {
-        member.hear(&other, ControlMessage::Refused { promised });
+        member.receive(&other, ControlMessage::Refused { promised });
         assert!(member.control.is_leader(), "{promised} beside {epoch}");
     }
-    member.hear(&other, ControlMessage::Refused { promised: epoch + 1 });
+    member.receive(&other, ControlMessage::Refused { promised: epoch + 1 });
     assert!(!member.control.is_leader());
 }
 
-/// Guards against a member that follows a leader of an epoch below its promise, or keeps a leader going that way.
+/// Guards against a member that follows a leader of an epoch below its promise, or that keeps such a leader in office.
 #[test]
-fn a_member_heeds_no_leader_below_its_promise() {
+fn a_member_rejects_leaders_below_its_promise() {
     let mut member = Member::of_formed_core();
     let other = member.others[0].clone();
     let (stamp, index) = (member.control.accepted_stamp(), member.control.index());
     let promised = stamp.epoch + 5;
-    member.hear(&other, ControlMessage::Prepare { epoch: promised });
+    member.receive(&other, ControlMessage::Prepare { epoch: promised });
     member.sent.clear();
     let epoch = promised - 1;
-    member.hear(&other, ControlMessage::Heartbeat { epoch, round: 1, committed: stamp });
+    member.receive(&other, ControlMessage::Heartbeat { epoch, round: 1, committed: stamp });
     assert!(member.is_refused());
     let answers = |message: &ControlMessage| matches!(message, ControlMessage::HeartbeatAnswer { .. });
     assert!(!member.sent.iter().any(answers));
@@ -349,13 +351,16 @@
         command: lead.clone(),
     };
     member.sent.clear();
-    member.hear(&other, ControlMessage::Accept { epoch, entry: entry(epoch), committed: stamp });
+    member.receive(&other, ControlMessage::Accept { epoch, entry: entry(epoch), committed: stamp });
     assert!(member.is_refused());
     assert_eq!((member.control.accepted_stamp(), member.control.index()), (stamp, index));
-    // An entry of another epoch than its message is of no leader.
-    member.hear(&other, ControlMessage::Accept { epoch: promised, entry: entry(epoch), committed: stamp });
+    // An entry whose epoch differs from that of its message comes from no valid leader.
+    member.receive(&other, ControlMessage::Accept { epoch: promised, entry: entry(epoch), committed: stamp });
     assert_eq!(member.control.accepted_stamp(), stamp);
-    member.hear(&other, ControlMessage::Accept { epoch: promised, entry: entry(promised), committed: stamp });
+    member.receive(
+        &other,
+        ControlMessage::Accept { epoch: promised, entry: entry(promised), committed: stamp },
+    );
     assert_eq!(member.control.accepted_stamp().epoch, promised);
 }
 
@@ -368,23 +373,23 @@
     let promised = |member: &Member| {
         member.sent.iter().filter(|message| matches!(message, ControlMessage::Promise { .. })).count()
     };
-    member.hear(&first, ControlMessage::Prepare { epoch });
+    member.receive(&first, ControlMessage::Prepare { epoch });
     assert_eq!(promised(&member), 1);
     for (from, other) in [(&second, epoch), (&first, epoch), (&second, epoch - 1)] {
-        member.hear(from, ControlMessage::Prepare { epoch: other });
+        member.receive(from, ControlMessage::Prepare { epoch: other });
         assert_eq!(promised(&member), 1, "{other} after {epoch}");
     }
-    member.hear(&second, ControlMessage::Prepare { epoch: epoch + 1 });
+    member.receive(&second, ControlMessage::Prepare { epoch: epoch + 1 });
     assert_eq!(promised(&member), 2);
 }
 
-/// Guards against an election that is begun for an epoch which this member would not promise.
+/// Guards against an election for an epoch that this member would not promise.
 #[test]
 fn a_pre_vote_below_the_promise_is_not_granted() {
-    let (mut member, other, epoch) = Member::after_a_promise();
+    let (mut member, other, epoch) = Member::with_promise();
     let granted = |member: &mut Member, asked: u64| {
         member.sent.clear();
-        member.hear(&other, ControlMessage::PreVote { epoch: asked });
+        member.receive(&other, ControlMessage::PreVote { epoch: asked });
         member.sent.iter().any(|message| {
             matches!(message, ControlMessage::PreVoteAnswer { epoch, granted: true, .. } if *epoch == asked)
         })
@@ -394,13 +399,13 @@
     assert!(granted(&mut member, epoch + 1));
 }
 
-/// Guards links against whole states that go to candidates of other epochs, which have no use for them.
+/// Guards against sending complete states to candidates of other epochs, which cannot use them.
 #[test]
-fn a_state_is_handed_to_the_candidate_that_was_promised() {
-    let (mut member, other, epoch) = Member::after_a_promise();
+fn a_state_is_sent_only_to_the_candidate_that_was_promised() {
+    let (mut member, other, epoch) = Member::with_promise();
     let hands_out = |member: &mut Member, asked: u64| {
         member.sent.clear();
-        member.hear(&other, ControlMessage::ReadAccepted { epoch: asked });
+        member.receive(&other, ControlMessage::ReadAccepted { epoch: asked });
         member.sent.iter().any(|message| matches!(message, ControlMessage::StatePiece(_)))
     };
     assert!(!hands_out(&mut member, epoch - 1));
--- a/crates/control/tests/control/repeated_calls.rs
+++ b/crates/control/tests/control/repeated_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that go to the leader again: how often, and what it costs the link.
+//! Calls that are sent to the leader again: how often, and how many bytes that costs.
 
 use std::sync::Arc;
 
@@ -7,29 +7,29 @@
 use pewterseam_wire::identity::{DiskId, Life, NodeInfo, NodeName, Role};
 
 use crate::simulation::cluster::{MS, document};
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 
 const SECOND: u64 = 1_000 * MS;
 
-/// Bytes of a large configuration.
+/// The bytes of a large configuration.
 const LARGE: usize = 1_200_000;
 
 /// 6 Mbit/s: a large configuration takes 1.6 s.
 const SLOW_LINK: u64 = 6_000_000 / 8;
 
-/// The first node that is a relay outside the core.
+/// The first relay outside the core.
 const RELAY: usize = 3;
 
 fn large_order() -> OperatorRequest {
     OperatorRequest::put(0, document(1, &"n".repeat(LARGE)))
 }
 
-/// Guards against an order that is sent again while its bytes are still on their way: each repeat costs a slow link the
-/// whole configuration again, and what comes after waits for it.
+/// Guards against sending an order again while its bytes are still in transit: each repeat loads a slow link with the
+/// whole configuration again, and delays everything behind it.
 #[test]
 fn a_large_order_is_sent_once_over_a_slow_link() {
     for seed in 0..20 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         let leader = cluster.leader().expect("a leader");
         cluster.rates.insert(RELAY, SLOW_LINK);
         cluster.counts_bytes = true;
@@ -67,8 +67,8 @@
     }
 }
 
-/// One relay that calls a core member that is alive and never answers. Returns when each order was sent, in their order.
-fn sendings(orders: &[OperatorRequest], span: u64) -> Vec<Vec<u64>> {
+/// Simulates one relay that calls a live core member which never answers. Returns when each order was sent, by order.
+fn send_times(orders: &[OperatorRequest], span: u64) -> Vec<Vec<u64>> {
     let settings = ControlSettings { call_timeout: span, ..ControlSettings::default() };
     let control = Control::new(0, &relay(1, None), settings, (None, Vec::new()), 1);
     let mut control = control.expect("starts");
@@ -82,9 +82,9 @@
     while now < span {
         for effect in std::mem::take(&mut effects) {
             if let Effect::Send { message: ControlMessage::Operator { request, .. }, .. } = effect
-                && let Some(place) = orders.iter().position(|order| *order == request)
+                && let Some(position) = orders.iter().position(|order| *order == request)
             {
-                sent[place].push(now);
+                sent[position].push(now);
             }
         }
         now = control.next_wake();
@@ -93,15 +93,15 @@
     sent
 }
 
-/// Guards against pauses that are as long for a megabyte as for a read, and against pauses that do not grow: a link that
-/// is repeated on gets no faster.
+/// Guards against retry pauses that are the same for a megabyte as for a read, and against pauses that do not grow:
+/// sending again over a slow link only loads it further.
 #[test]
-fn pauses_grow_with_the_size_and_with_each_repeat() {
-    let sent = sendings(&[OperatorRequest::ReadConfig, large_order()], 20 * SECOND);
+fn retry_pauses_grow_with_the_size_and_with_each_repeat() {
+    let sent = send_times(&[OperatorRequest::ReadConfig, large_order()], 20 * SECOND);
     let (small, large) = (&sent[0], &sent[1]);
     assert_eq!(small[..4], [0, 900 * MS, 2_700 * MS, 6_300 * MS]);
-    let longer = (LARGE / 1024) as u64 * MS;
-    assert!(large[1] >= 900 * MS + longer, "{large:?}");
+    let transfer_time = (LARGE / 1024) as u64 * MS;
+    assert!(large[1] >= 900 * MS + transfer_time, "{large:?}");
     let pauses: Vec<u64> = large.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(pauses.len() >= 2 && pauses.windows(2).all(|pair| pair[1] == 2 * pair[0]), "{pauses:?}");
 }
--- a/crates/control/tests/control/restore.rs
+++ b/crates/control/tests/control/restore.rs
@@ -1,10 +1,10 @@
-//! The way back when half of the core's disks or more are gone.
+//! Disaster recovery after half of the core's disks or more are lost.
 
 use pewterseam_control::{CoreMember, OperatorRequest, Outcome, StateBackup};
 
 use crate::simulation::cluster::{Cluster, MS, document};
 use crate::simulation::disk::Disk;
-use crate::{call, formed};
+use crate::{call, formed_cluster};
 
 const SECOND: u64 = 1_000 * MS;
 
@@ -14,7 +14,7 @@
     backup.expect("it holds a state")
 }
 
-/// Puts a member with an empty disk, and a backup, in place of a node.
+/// Replaces a node's disk by a new one that holds only the backup.
 fn restore(cluster: &mut Cluster, node: usize, backup: &StateBackup) {
     cluster.lose_disk(node);
     let info = &cluster.nodes[node].info;
@@ -24,37 +24,38 @@
     cluster.nodes[node].disk = Disk::with_snapshot(snapshot);
 }
 
-fn change(cluster: &mut Cluster, token: u64, on: u64, version: u64) -> bool {
+fn change(cluster: &mut Cluster, token: u64, based_on: u64, version: u64) -> bool {
     (0..6).any(|_| {
-        let request = OperatorRequest::put(on, document(version, "x"));
+        let request = OperatorRequest::put(based_on, document(version, "x"));
         call(cluster, 3, token, request) == Some(Outcome::Accepted { version })
     })
 }
 
-/// Guards against a core that cannot be brought back after two of three disks are gone; against processes that went on
-/// meanwhile and do not follow the restored core; and against an old member that is not fenced.
+/// Guards against a core that cannot be restored after two of three disks are lost, against processes that kept
+/// running and do not follow the restored core, and against an old member that can still act.
 #[test]
 fn a_core_is_restored_from_one_disk() {
     for seed in 0..20 {
-        let mut cluster = formed(seed, 3, 2, 3);
+        let mut cluster = formed_cluster(seed, 3, 2, 3);
         assert!(change(&mut cluster, 1, 0, 5), "seed {seed}");
-        let left = seed as usize % 3;
-        let (lost, old) = ((left + 1) % 3, (left + 2) % 3);
+        let survivor = seed as usize % 3;
+        let (lost, old) = ((survivor + 1) % 3, (survivor + 2) % 3);
         for node in 0..3 {
             cluster.kill(node);
         }
         cluster.lose_disk(lost);
         cluster.run(4 * SECOND);
-        let backup = backup_of(&cluster, left);
-        restore(&mut cluster, left, &backup);
-        cluster.start_after(left, 0);
+        let backup = backup_of(&cluster, survivor);
+        restore(&mut cluster, survivor, &backup);
+        cluster.start_after(survivor, 0);
         cluster.run(4 * SECOND);
         let Some(Outcome::Config(config)) = call(&mut cluster, 3, 2, OperatorRequest::ReadConfig) else {
             panic!("seed {seed}: no configuration")
         };
         assert_eq!(config.version, 5, "seed {seed}");
         assert!(change(&mut cluster, 3, 5, 6), "seed {seed}");
-        // The lost one returns empty, the other one with its old disk, against all advice.
+        // One member returns with an empty disk, and the other one with its old disk, which operators are told not to
+        // do.
         cluster.start_after(lost, 0);
         cluster.start_after(old, SECOND);
         cluster.run(12 * SECOND);
@@ -65,17 +66,17 @@
             assert_eq!(control.state().config.version, 7, "seed {seed}: node {node}");
             assert_eq!(control.forced_epochs().len(), 1, "seed {seed}: node {node}");
         }
-        assert_eq!(cluster.control(left).expect("runs").core().len(), 3, "seed {seed}");
+        assert_eq!(cluster.control(survivor).expect("runs").core().len(), 3, "seed {seed}");
         cluster.checks.finish();
-        assert_eq!(cluster.checks.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(cluster.checks.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// Guards against a restored state that others ignore because they know a later one: it is then older than what was
-/// agreed on, and what lies between is lost.
+/// Guards against processes that ignore the restored state because they know a later one. The restored state is older
+/// than the last agreed one, and the changes in between are lost.
 #[test]
-fn an_older_backup_is_put_in_force_everywhere() {
-    let mut cluster = formed(4, 3, 2, 3);
+fn a_restored_older_state_replaces_the_state_of_all_processes() {
+    let mut cluster = formed_cluster(4, 3, 2, 3);
     assert!(change(&mut cluster, 1, 0, 5));
     let backup = backup_of(&cluster, 0);
     let placement = cluster.control(0).expect("runs").state().placement.epoch;
@@ -99,10 +100,10 @@
     assert!(change(&mut cluster, 40, 5, 41));
 }
 
-/// Guards against a file that is cut short or damaged and is restored.
+/// Guards against restoring a truncated or damaged file.
 #[test]
-fn only_a_whole_backup_is_read() {
-    let mut cluster = formed(4, 3, 2, 3);
+fn a_truncated_or_damaged_backup_is_rejected() {
+    let mut cluster = formed_cluster(4, 3, 2, 3);
     assert!(change(&mut cluster, 1, 0, 5));
     let backup = backup_of(&cluster, 0);
     let bytes = backup.encode();
@@ -110,9 +111,9 @@
     for length in 0..bytes.len() {
         assert_eq!(StateBackup::decode(&bytes[..length]), None, "{length} bytes");
     }
-    for place in 0..bytes.len() {
+    for position in 0..bytes.len() {
         let mut damaged = bytes.to_vec();
-        damaged[place] ^= 0x10;
-        assert_eq!(StateBackup::decode(&damaged), None, "byte {place}");
+        damaged[position] ^= 0x10;
+        assert_eq!(StateBackup::decode(&damaged), None, "byte {position}");
     }
 }
--- a/crates/control/tests/control/second_loss.rs
+++ b/crates/control/tests/control/second_loss.rs
@@ -1,42 +1,43 @@
-//! A second loss in each window of a repair of the core, and then the loss of one of those that are left.
+//! A second loss of a member in each phase of a core repair, and then the loss of one of the remaining members.
 
 use pewterseam_control::{Control, OperatorRequest, Outcome};
 use pewterseam_wire::identity::Role;
 
-use crate::simulation::cluster::{Cluster, MS, Planted, document};
-use crate::{call, formed};
+use crate::simulation::cluster::{Cluster, InjectedBug, MS, document};
+use crate::{call, formed_cluster};
 
-/// `catchUpS` of a small site: so long after a return or a successor's start a loss counts no more.
-const CATCH_UP: u64 = 4_400 * MS;
+/// `catchUpS` of a small site: this long after a return or a successor's start, a loss must be repaired.
+const MAX_REPAIR_TIME: u64 = 4_400 * MS;
 
-/// An order is taken within this after a loss that the core must survive.
-const ORDER_TIME: u64 = 8_000 * MS;
+/// An order must be accepted within this time after a loss that the core must survive.
+const MAX_ORDER_TIME: u64 = 8_000 * MS;
 
 const SEEDS: u64 = 20;
 
 /// How the first member is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
-    /// It returns with an empty disk.
+    /// The member returns with an empty disk.
     Disk,
-    /// It goes, and a machine with another name comes.
+    /// The member is removed, and a machine with another name replaces it.
     Machine,
 }
 
 /// When the second member is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Window {
+enum RepairPhase {
     /// The successor has started and is not a member yet.
     CatchingUp,
-    /// The first proposal of another membership is on its way.
+    /// The first proposal of a new membership is under way.
     Uncommitted,
-    /// The leader knows as committed that the successor is a member, and the joint membership over.
+    /// The leader knows that the successor's membership is committed and the joint membership has ended.
     Counted,
     /// `catchUpS` after the successor's start.
     Repaired,
 }
 
-const WINDOWS: [Window; 4] = [Window::CatchingUp, Window::Uncommitted, Window::Counted, Window::Repaired];
+const REPAIR_PHASES: [RepairPhase; 4] =
+    [RepairPhase::CatchingUp, RepairPhase::Uncommitted, RepairPhase::Counted, RepairPhase::Repaired];
 
 struct Trial {
     cluster: Cluster,
@@ -46,14 +47,14 @@
 
 impl Trial {
     fn new(seed: u64, core: usize) -> Self {
-        let mut trial = Trial { cluster: formed(seed, core, 2, 3), version: 0, relay: core };
-        trial.takes_order("at the start");
+        let mut trial = Trial { cluster: formed_cluster(seed, core, 2, 3), version: 0, relay: core };
+        trial.assert_accepts_order("at the start");
         trial
     }
 
-    /// An order on top of the last one is taken, sent as often as it needs.
-    fn takes_order(&mut self, when: &str) {
-        let (end, version) = (self.cluster.now + ORDER_TIME, self.version + 1);
+    /// Checks that an order based on the last version is accepted; it is sent as often as needed.
+    fn assert_accepts_order(&mut self, when: &str) {
+        let (end, version) = (self.cluster.now + MAX_ORDER_TIME, self.version + 1);
         while self.cluster.now < end {
             let change = document(version, when);
             let request = OperatorRequest::put(self.version, change.clone());
@@ -99,7 +100,7 @@
         successor
     }
 
-    fn is_counted(&self, node: usize) -> bool {
+    fn is_member(&self, node: usize) -> bool {
         let info = &self.cluster.nodes[node].info;
         let has_it = |control: &Control| {
             let core = control.core_membership();
@@ -113,24 +114,24 @@
         self.cluster.nodes.iter().filter_map(|node| node.control.as_ref()).any(has_it)
     }
 
-    /// Runs until a window begins. Returns how long that took.
-    fn reach(&mut self, window: Window, successor: usize, proposals: usize) -> u64 {
+    /// Runs until a phase of the repair begins. Returns how long that took.
+    fn run_until_phase(&mut self, phase: RepairPhase, successor: usize, proposals: usize) -> u64 {
         let start = self.cluster.now;
-        let end = start + CATCH_UP;
+        let end = start + MAX_REPAIR_TIME;
         while self.cluster.now < end {
-            let is_reached = match window {
-                Window::CatchingUp => self.cluster.now >= start + 300 * MS,
-                Window::Uncommitted => self.cluster.core_proposals > proposals,
-                Window::Counted => self.is_counted(successor),
-                Window::Repaired => false,
+            let is_reached = match phase {
+                RepairPhase::CatchingUp => self.cluster.now >= start + 300 * MS,
+                RepairPhase::Uncommitted => self.cluster.core_proposals > proposals,
+                RepairPhase::Counted => self.is_member(successor),
+                RepairPhase::Repaired => false,
             };
             if is_reached {
                 return self.cluster.now - start;
             }
             self.cluster.run(MS);
         }
-        assert!(window == Window::Repaired, "{window:?} was not reached within catchUpS");
-        CATCH_UP
+        assert!(phase == RepairPhase::Repaired, "{phase:?} was not reached within catchUpS");
+        MAX_REPAIR_TIME
     }
 
     /// A live member of the first core other than these: the leader, or one that does not lead.
@@ -143,64 +144,66 @@
     }
 }
 
-/// One trial. Where more are lost at one time than the core survives at all, the second one comes back with its disk.
-fn lose_two(seed: u64, core: usize, loss: Loss, window: Window) -> u64 {
+/// Executes one trial. If more members are lost at a time than the core can survive, the second one returns with its
+/// disk.
+fn lose_two_members(seed: u64, core: usize, loss: Loss, phase: RepairPhase) -> u64 {
     let (first_leads, second_leads) = (seed.is_multiple_of(3), seed.is_multiple_of(2));
-    let when = format!("seed {seed}, core of {core}, {loss:?}, {window:?}");
+    let when = format!("seed {seed}, core of {core}, {loss:?}, {phase:?}");
     let mut trial = Trial::new(seed, core);
     let first = trial.next_victim(core, first_leads, &[]);
     let proposals = trial.cluster.core_proposals;
     let successor = trial.lose_first(first, loss);
-    let reached = trial.reach(window, successor, proposals);
+    let reached = trial.run_until_phase(phase, successor, proposals);
     let second = trial.next_victim(core, second_leads, &[first, successor]);
     trial.cluster.kill(second);
-    let is_survived = core > 4 || matches!(window, Window::Counted | Window::Repaired);
+    let is_survived = core > 4 || matches!(phase, RepairPhase::Counted | RepairPhase::Repaired);
     if !is_survived {
         trial.cluster.start_after(second, 1_000 * MS);
     }
-    trial.takes_order(&format!("{when}, after the second loss"));
-    // The second one comes back, the repair ends, and one of those that are left goes.
+    trial.assert_accepts_order(&format!("{when}, after the second loss"));
+    // The second member returns, the repair ends, and then one of the remaining members is lost.
     if is_survived {
         trial.cluster.start_after(second, 0);
     }
-    trial.cluster.run(CATCH_UP + 1_000 * MS);
-    assert!(trial.is_counted(successor), "{when}: the successor is no member");
+    trial.cluster.run(MAX_REPAIR_TIME + 1_000 * MS);
+    assert!(trial.is_member(successor), "{when}: the successor is no member");
     let third = trial.next_victim(core, !second_leads, &[first, successor]);
     trial.cluster.lose_disk(third);
-    trial.takes_order(&format!("{when}, after the third loss"));
+    trial.assert_accepts_order(&format!("{when}, after the third loss"));
     trial.cluster.checks.finish();
-    assert_eq!(trial.cluster.checks.broken, Vec::<String>::new(), "{when}");
+    assert_eq!(trial.cluster.checks.violations, Vec::<String>::new(), "{when}");
     reached
 }
 
-fn lose_two_in_each_window(core: usize) {
+fn lose_two_members_in_each_phase(core: usize) {
     for loss in [Loss::Disk, Loss::Machine] {
-        for window in WINDOWS {
-            let times: Vec<u64> = (0..SEEDS).map(|seed| lose_two(seed, core, loss, window)).collect();
+        for phase in REPAIR_PHASES {
+            let times: Vec<u64> = (0..SEEDS).map(|seed| lose_two_members(seed, core, loss, phase)).collect();
             let longest = times.iter().max().copied().unwrap_or(0) / MS;
-            println!("core of {core}, {loss:?}, {window:?}: reached within {longest} ms");
+            println!("core of {core}, {loss:?}, {phase:?}: reached within {longest} ms");
         }
     }
 }
 
-/// Guards against a core that a second loss stops, in each window of a repair, and against a repair that takes longer
+/// Guards against a second loss that stops the core in any phase of a repair, and against a repair that takes longer
 /// than `catchUpS`.
 #[test]
 fn a_core_of_three_survives_a_second_loss() {
-    lose_two_in_each_window(3);
+    lose_two_members_in_each_phase(3);
 }
 
 #[test]
 fn a_core_of_four_survives_a_second_loss() {
-    lose_two_in_each_window(4);
+    lose_two_members_in_each_phase(4);
 }
 
 #[test]
 fn a_core_of_five_survives_a_second_loss() {
-    lose_two_in_each_window(5);
+    lose_two_members_in_each_phase(5);
 }
 
-/// Losses one by one, each `catchUpS` after the start of the last successor.
+/// Guards against a core that does not survive losses one by one, each `catchUpS` after the start of the last
+/// successor.
 #[test]
 fn losses_in_succession_are_repaired() {
     for seed in 0..SEEDS {
@@ -212,42 +215,42 @@
             let victim = trial.next_victim(core, round % 2 == 0, &lost);
             lost.push(victim);
             let successor = trial.lose_first(victim, loss);
-            trial.cluster.run(CATCH_UP);
-            assert!(trial.is_counted(successor), "seed {seed}, round {round}");
-            trial.takes_order(&format!("seed {seed}, round {round}"));
+            trial.cluster.run(MAX_REPAIR_TIME);
+            assert!(trial.is_member(successor), "seed {seed}, round {round}");
+            trial.assert_accepts_order(&format!("seed {seed}, round {round}"));
         }
         trial.cluster.checks.finish();
-        assert_eq!(trial.cluster.checks.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(trial.cluster.checks.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// Guards against a core of four that goes on needing three after a member went for good and nobody came for it.
+/// Guards against a core of four that still needs three members after one was lost permanently without a successor.
 #[test]
 fn a_core_of_four_survives_losses_without_successors() {
     for seed in 0..SEEDS {
         let mut trial = Trial::new(seed, 4);
         let first = trial.next_victim(4, seed.is_multiple_of(2), &[]);
         trial.cluster.kill(first);
-        trial.cluster.run(CATCH_UP);
+        trial.cluster.run(MAX_REPAIR_TIME);
         let second = trial.next_victim(4, seed.is_multiple_of(3), &[first]);
         trial.cluster.kill(second);
-        trial.takes_order(&format!("seed {seed}, after the second loss"));
+        trial.assert_accepts_order(&format!("seed {seed}, after the second loss"));
     }
 }
 
-/// A disk is emptied, and the one member with the newest order is cut off meanwhile. Returns whether the others went
-/// on without it as if there were no such order.
-fn empties_a_disk(seed: u64, planted: Planted) -> Vec<String> {
+/// A disk is replaced by an empty one while the only other member with the newest order is cut off. Returns the
+/// violations that occur if the others continue as if that order did not exist.
+fn violations_after_disk_loss(seed: u64, injected_bug: InjectedBug) -> Vec<String> {
     let mut trial = Trial::new(seed, 3);
-    trial.cluster.planted = planted;
+    trial.cluster.injected_bug = injected_bug;
     let leader = trial.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
-    // One member misses the newest order, the other one holds it with the leader.
+    // One member misses the newest order; another one and the leader have it.
     trial.cluster.kill(others[0]);
-    trial.takes_order("with two members");
+    trial.assert_accepts_order("with two members");
     trial.cluster.kill(leader);
     trial.cluster.lose_disk(others[1]);
-    // Those without a disk know the order as well: they forget it.
+    // The processes without a disk know the order as well: a restart makes them forget it.
     for node in 3..trial.cluster.nodes.len() {
         trial.cluster.kill(node);
         trial.cluster.start_after(node, 100 * MS);
@@ -263,20 +266,25 @@
         }
     }
     trial.cluster.start_after(leader, 0);
-    trial.cluster.run(ORDER_TIME);
+    trial.cluster.run(MAX_ORDER_TIME);
     trial.cluster.checks.finish();
-    std::mem::take(&mut trial.cluster.checks.broken)
+    std::mem::take(&mut trial.cluster.checks.violations)
 }
 
-/// Guards against an emptied disk whose node votes under its old identity: two of three would then agree without the one
-/// that holds the newest order.
+/// Guards against a node with an empty disk that votes under its old identity: two of three members would then agree
+/// without the one that has the newest order.
 #[test]
 fn an_emptied_disk_does_not_vote_under_its_old_identity() {
     for seed in 0..SEEDS {
-        assert_eq!(empties_a_disk(seed, Planted::Nothing), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            violations_after_disk_loss(seed, InjectedBug::Nothing),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
     }
-    let broken =
-        (0..SEEDS).filter(|seed| !empties_a_disk(*seed, Planted::EmptiedDiskVotes).is_empty()).count();
-    println!("with the old identity {broken} of {SEEDS} seeds break");
-    assert!(broken as u64 > SEEDS / 2, "not found");
+    let violations = (0..SEEDS)
+        .filter(|seed| !violations_after_disk_loss(*seed, InjectedBug::EmptyDiskVotes).is_empty())
+        .count();
+    println!("with the old identity {violations} of {SEEDS} seeds show violations");
+    assert!(violations as u64 > SEEDS / 2, "not found");
 }
--- a/crates/control/tests/control/simulation/cluster.rs
+++ b/crates/control/tests/control/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster: nodes, links, time.
+//! The simulated cluster: nodes, links and time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -17,27 +17,27 @@
 
 pub const MS: u64 = 1_000;
 
-/// Membership looks at links this often.
-const LOOK: u64 = 100 * MS;
-/// A write that a disk did not sync is looked at again after this.
+/// The interval at which simulated membership checks the links.
+const MEMBERSHIP_INTERVAL: u64 = 100 * MS;
+/// The delay before a write that a faulty disk did not sync is tried again.
 const RETRY_SYNC: u64 = 100 * MS;
-/// Bytes to which [`Cluster::loss_percent`] applies once.
+/// The number of bytes to which [`Cluster::loss_percent`] applies once.
 pub(super) const LOSS_UNIT: usize = 32 * 1024;
-/// A store has copied what it must after so long.
-const COPY: u64 = 400 * MS;
+/// How long a store takes to copy its messages.
+const COPY_DURATION: u64 = 400 * MS;
 
-/// What is wrong with a disk.
+/// The fault of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskTrouble {
-    /// It syncs nothing. What was written is there if only the process ends.
+pub enum DiskFault {
+    /// The disk syncs nothing. Writes survive only if the process ends without a loss of power.
     Stalled,
-    /// Each sync takes so much longer.
+    /// Each sync takes this much longer.
     Slow(u64),
-    /// It takes nothing in: each write fails and is tried again, and is gone with the process.
+    /// The disk accepts no data: each write fails and is retried, and is lost when the process ends.
     Full,
 }
 
-/// A clock that has told the time so far, and runs slower from a moment on.
+/// A clock that was correct until `since`, and has run slower from then on.
 #[derive(Clone, Copy)]
 pub struct SlowClock {
     pub(super) since: u64,
@@ -45,30 +45,30 @@
 }
 
 impl SlowClock {
-    fn tells(&self, now: u64) -> u64 {
+    fn reading(&self, now: u64) -> u64 {
         self.since + (now - self.since) / self.slower
     }
 
-    fn moment(&self, told: u64) -> u64 {
-        self.since + told.saturating_sub(self.since).saturating_mul(self.slower)
+    fn real_time(&self, clock_time: u64) -> u64 {
+        self.since + clock_time.saturating_sub(self.since).saturating_mul(self.slower)
     }
 }
 
-/// Faults of the simulated program, to show that the checks find them.
+/// Bugs injected into the simulated program, to show that the checks find them.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedBug {
     Nothing,
-    /// A candidate takes itself for promised by everybody, whatever they hold.
+    /// A candidate believes that all members have promised, whatever their state.
     NoMajorityRead,
-    /// The disk says that it synced, and did not.
+    /// The disk reports syncs that it did not do.
     LyingDisk,
-    /// A disk that was emptied keeps its identity, so that its member votes on with an empty memory.
-    EmptiedDiskVotes,
+    /// A replaced disk keeps its identity, so that its member still votes without knowing what it accepted before.
+    EmptyDiskVotes,
 }
 
 #[derive(Clone)]
 pub(super) enum Event {
-    /// For one life of the receiver, or for whichever runs where there is none.
+    /// For one process of the receiver, or for whichever process runs if `life` is none.
     Message {
         from: usize,
         to: usize,
@@ -87,7 +87,7 @@
     Start {
         node: usize,
     },
-    Thaw {
+    Resume {
         node: usize,
     },
     Copied {
@@ -95,7 +95,7 @@
         life: u64,
         epoch: u64,
     },
-    Look,
+    MembershipCheck,
 }
 
 #[derive(Clone)]
@@ -105,14 +105,15 @@
     pub disk: Disk,
     pub life: u64,
     pub frozen: bool,
-    /// It never starts again.
+    /// Whether the node never starts again.
     pub is_removed: bool,
-    pub(super) held: Vec<Event>,
+    pub(super) deferred_events: Vec<Event>,
     pub wakes: u64,
-    /// What this node's membership holds of each other: whether it is live, and since when links say otherwise.
+    /// This node's membership view of each other node: the live process (0 if dead), and since when the links
+    /// contradict that.
     pub view: BTreeMap<usize, (u64, Option<u64>)>,
     wake: u64,
-    pub told_digest: BTreeMap<usize, u64>,
+    pub reported_index: BTreeMap<usize, u64>,
 }
 
 #[derive(Clone)]
@@ -120,56 +121,57 @@
     pub now: u64,
     pub random: Random,
     pub nodes: Vec<Node>,
-    /// Links that carry nothing, by direction.
+    /// Links that are cut, by direction.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// What links take longer, by direction.
+    /// The additional delay of links, by direction.
     pub slow: BTreeMap<(usize, usize), u64>,
     pub drop_percent: usize,
-    /// Of a hundred messages so many come a second time, at any later moment: after changes of leaders and restarts.
+    /// The percentage of messages that are delivered a second time at any later moment, possibly after a change of
+    /// leader or a restart.
     pub late_percent: usize,
-    /// Clocks that run slower than time.
+    /// Clocks that run slower than the simulated time.
     pub clocks: BTreeMap<usize, SlowClock>,
-    /// Bytes that a node may send in a second, all links together. None: without bound.
+    /// The bytes that a node may send per second on all its links together. None: unlimited.
     pub rate: Option<u64>,
-    /// The same for single nodes, where it is less.
+    /// The same limit for single nodes, which takes precedence.
     pub rates: BTreeMap<usize, u64>,
-    /// Of a hundred messages of [`LOSS_UNIT`] bytes so many are lost, and of longer ones accordingly more. Only with a
-    /// rate.
+    /// The percentage of messages of [`LOSS_UNIT`] bytes that are lost; larger messages are lost with a
+    /// correspondingly higher probability. Applies only with a rate.
     pub loss_percent: usize,
-    /// How long a node's disk takes for a write, where that is not the usual time.
+    /// How long a node's disk takes for a write, if not the usual time.
     pub disk_delays: BTreeMap<usize, u64>,
     pub answers: Vec<(usize, Token, Outcome)>,
     pub checks: Checks,
-    pub planted: Planted,
-    /// Disks that do not do what they should.
-    pub disks: BTreeMap<usize, DiskTrouble>,
-    /// How often each node asked for promises.
-    pub stood: BTreeMap<usize, usize>,
+    pub injected_bug: InjectedBug,
+    /// Disks with a fault.
+    pub disks: BTreeMap<usize, DiskFault>,
+    /// How many requests for promises each node has sent.
+    pub promise_requests: BTreeMap<usize, usize>,
     pub bootstrap: bool,
     pub messages: u64,
-    /// Whether the bytes of messages are counted, which takes time.
+    /// Whether the bytes of messages are counted, which costs time.
     pub counts_bytes: bool,
     pub bytes: usize,
-    /// Bytes that were sent to each node.
+    /// The bytes that were sent to each node.
     pub received: BTreeMap<usize, usize>,
-    /// What of it nodes were sent before. Only with a rate.
+    /// The part of these bytes that a node was sent before. Counted only with a rate.
     pub repeats: Repeats,
-    /// How much longer a store takes to copy.
+    /// How much longer than usual a store takes to copy.
     pub copy_delays: BTreeMap<usize, u64>,
-    /// Stores that have copied, and the epoch of the placement under which they have.
+    /// The stores that have copied, with the epoch of the placement for which they have.
     pub copies: BTreeSet<(NodeName, u64)>,
-    /// No entry reaches a member.
-    pub holds_entries: bool,
-    /// The core agrees on the relays that may hand out permits.
+    /// Whether all `Accept` messages are dropped.
+    pub drops_accepts: bool,
+    /// Whether the core agrees on the list of relays that may grant permits.
     pub agrees_on_homes: bool,
-    /// Proposals of core memberships that were sent.
+    /// The number of proposals of core memberships that were sent.
     pub core_proposals: usize,
-    /// Stores in one of their lives, and the epochs of the placements that they have begun to copy for.
+    /// The processes of stores, with the epochs of the placements for which they have begun to copy.
     copying: BTreeSet<(usize, u64, u64)>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     pub(super) links: BTreeMap<(usize, usize), u64>,
-    /// Until when a node is busy with sending.
+    /// Until when a node's queue of outgoing messages keeps it busy.
     pub(super) sending: BTreeMap<usize, u64>,
     order: u64,
     pub(super) next_disk: u64,
@@ -180,8 +182,8 @@
 }
 
 impl Cluster {
-    /// A cluster of `core` relays with a disk, `relays` without, and `stores`. The seeds are the first three relays, of
-    /// which the last may have no disk.
+    /// A cluster of `core` relays with a disk, `relays` without, and `stores`. The seeds are the first two relays and
+    /// the first relay without a disk, or the third node if there is none.
     pub fn new(seed: u64, core: usize, relays: usize, stores: usize) -> Self {
         let mut cluster = Cluster {
             now: 1_000_000,
@@ -198,9 +200,9 @@
             disk_delays: BTreeMap::new(),
             answers: Vec::new(),
             checks: Checks::default(),
-            planted: Planted::Nothing,
+            injected_bug: InjectedBug::Nothing,
             disks: BTreeMap::new(),
-            stood: BTreeMap::new(),
+            promise_requests: BTreeMap::new(),
             bootstrap: true,
             messages: 0,
             counts_bytes: false,
@@ -209,7 +211,7 @@
             repeats: Repeats::default(),
             copy_delays: BTreeMap::new(),
             copies: BTreeSet::new(),
-            holds_entries: false,
+            drops_accepts: false,
             agrees_on_homes: false,
             core_proposals: 0,
             copying: BTreeSet::new(),
@@ -232,11 +234,11 @@
             let delay = cluster.random.below(300) as u64 * MS;
             cluster.schedule(delay, Event::Start { node: index });
         }
-        cluster.schedule(LOOK, Event::Look);
+        cluster.schedule(MEMBERSHIP_INTERVAL, Event::MembershipCheck);
         cluster
     }
 
-    /// Adds a machine that does not run yet.
+    /// Adds a machine that is not running yet.
     pub fn add(&mut self, role: Role, disk: bool) -> usize {
         let index = self.nodes.len();
         self.next_disk += 1;
@@ -258,11 +260,11 @@
             life: 0,
             frozen: false,
             is_removed: false,
-            held: Vec::new(),
+            deferred_events: Vec::new(),
             wakes: 0,
             view: BTreeMap::new(),
             wake: 0,
-            told_digest: BTreeMap::new(),
+            reported_index: BTreeMap::new(),
         });
         index
     }
@@ -281,7 +283,7 @@
         self.schedule(delay, Event::Start { node });
     }
 
-    /// Runs until a time has passed.
+    /// Runs the simulation for this long.
     pub fn run(&mut self, span: u64) {
         let end = self.now + span;
         while let Some(Reverse((at, order))) = self.queue.peek().copied() {
@@ -292,14 +294,14 @@
             self.now = at;
             self.checks.now = at;
             if let Some(event) = self.events.remove(&order) {
-                self.happen(event);
+                self.process_event(event);
             }
         }
         self.now = end;
         self.checks.now = end;
     }
 
-    /// What each process that runs takes its contact for must be true, also of one that stands still.
+    /// Checks the contact that each running process believes in, also of a process that is frozen.
     fn check_contacts(&mut self) {
         for (index, node) in self.nodes.iter().enumerate() {
             let Some(control) = node.control.as_ref().filter(|_| !self.clocks.contains_key(&index)) else {
@@ -313,20 +315,20 @@
         self.nodes[node].life == life && self.nodes[node].control.is_some()
     }
 
-    pub(super) fn happen(&mut self, event: Event) {
-        let place = match &event {
+    pub(super) fn process_event(&mut self, event: Event) {
+        let receiver = match &event {
             Event::Message { to, life, .. } => Some((*to, life.unwrap_or(self.nodes[*to].life))),
             Event::Wake { node, life }
             | Event::Synced { node, life, .. }
             | Event::Copied { node, life, .. } => Some((*node, *life)),
-            Event::Start { .. } | Event::Thaw { .. } | Event::Look => None,
+            Event::Start { .. } | Event::Resume { .. } | Event::MembershipCheck => None,
         };
-        if let Some((node, life)) = place {
+        if let Some((node, life)) = receiver {
             if !self.is_running(node, life) {
                 return;
             }
             if self.nodes[node].frozen {
-                return self.nodes[node].held.push(event);
+                return self.nodes[node].deferred_events.push(event);
             }
         }
         match event {
@@ -343,22 +345,22 @@
                     self.step(node, |control, now| control.tick(now));
                 }
             }
-            Event::Synced { node, life, sequence } if self.is_disk_held(node) => {
+            Event::Synced { node, life, sequence } if self.is_disk_stuck(node) => {
                 self.schedule(RETRY_SYNC, Event::Synced { node, life, sequence });
             }
             Event::Synced { node, sequence, .. } => {
-                if self.planted != Planted::LyingDisk {
+                if self.injected_bug != InjectedBug::LyingDisk {
                     self.nodes[node].disk.sync(sequence);
                 }
                 self.step(node, |control, now| control.persisted(now, sequence));
             }
             Event::Start { node } => self.start(node),
-            Event::Thaw { node } => self.thaw(node),
+            Event::Resume { node } => self.resume(node),
             Event::Copied { node, epoch, .. } => self.copied(node, epoch),
-            Event::Look => {
-                self.look();
+            Event::MembershipCheck => {
+                self.update_membership();
                 self.check_contacts();
-                self.schedule(LOOK, Event::Look);
+                self.schedule(MEMBERSHIP_INTERVAL, Event::MembershipCheck);
             }
         }
     }
@@ -378,21 +380,21 @@
         let node = &mut self.nodes[index];
         node.life += 1;
         node.view.clear();
-        node.told_digest.clear();
+        node.reported_index.clear();
         let control = Control::new(now, &node.info, settings, node.disk.log(), seed);
         node.control = Some(control.expect("the log can be read"));
         self.checks.started(index);
         self.step(index, |control, now| control.tick(now));
     }
 
-    /// A relay without a disk, or the third node.
+    /// The first relay without a disk, or the third node.
     fn first_diskless(&self) -> usize {
         let is_diskless = |node: &Node| node.info.role == Role::Relay && node.info.disk.is_none();
         self.nodes.iter().position(is_diskless).unwrap_or(2)
     }
 
-    fn is_disk_held(&self, node: usize) -> bool {
-        matches!(self.disks.get(&node), Some(DiskTrouble::Stalled | DiskTrouble::Full))
+    fn is_disk_stuck(&self, node: usize) -> bool {
+        matches!(self.disks.get(&node), Some(DiskFault::Stalled | DiskFault::Full))
     }
 
     pub fn operator(&mut self, index: usize, token: Token, request: OperatorRequest) -> bool {
@@ -412,9 +414,9 @@
         self.step(index, |control, now| control.copied(now, store, epoch));
     }
 
-    /// Hands one input to a machine and does what it wants done.
+    /// Passes one input to a state machine and carries out its effects.
     pub fn step(&mut self, index: usize, input: impl FnOnce(&mut Control, u64) -> Vec<Effect>) {
-        let now = self.clocks.get(&index).map_or(self.now, |clock| clock.tells(self.now));
+        let now = self.clocks.get(&index).map_or(self.now, |clock| clock.reading(self.now));
         let Some(control) = self.nodes[index].control.as_mut() else { return };
         let effects = input(control, now);
         for effect in effects {
@@ -439,16 +441,16 @@
                 let is_store = self.nodes[index].info.role == Role::Store;
                 let epoch = state.placement.epoch.0;
                 let is_moving = state.placement.sets.len() > 1;
-                // A store copies once for each placement, also where other parts of the state change.
+                // A store copies once for each placement, even if other parts of the state change.
                 if is_store && is_moving && self.copying.insert((index, life, epoch)) {
-                    let delay = COPY + self.copy_delays.get(&index).copied().unwrap_or(0);
+                    let delay = COPY_DURATION + self.copy_delays.get(&index).copied().unwrap_or(0);
                     self.schedule(delay, Event::Copied { node: index, life, epoch });
                 }
             }
             Effect::Contact(contact) => self.checks.contact(index, contact),
             Effect::Answer { token, outcome } => self.answers.push((index, token, outcome)),
             Effect::Wake(at) => {
-                let at = self.clocks.get(&index).map_or(at, |clock| clock.moment(at));
+                let at = self.clocks.get(&index).map_or(at, |clock| clock.real_time(at));
                 self.nodes[index].wake = at;
                 self.schedule_at(at.max(self.now), Event::Wake { node: index, life });
             }
@@ -458,7 +460,7 @@
     fn sync_later(&mut self, index: usize, sequence: u64) {
         let life = self.nodes[index].life;
         let slower = match self.disks.get(&index) {
-            Some(DiskTrouble::Slow(slower)) => *slower,
+            Some(DiskFault::Slow(slower)) => *slower,
             _ => 0,
         };
         let usual = 500 + self.random.below(3_000) as u64;
@@ -474,7 +476,7 @@
         self.nodes.iter().position(|node| node.control.as_ref().is_some_and(Control::is_leader))
     }
 
-    /// All links are whole, all processes run.
+    /// Ends all faults: restores all links and starts all processes.
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.slow.clear();
@@ -483,7 +485,7 @@
         self.clocks.clear();
         for index in 0..self.nodes.len() {
             if self.nodes[index].frozen {
-                self.thaw(index);
+                self.resume(index);
             }
             self.start(index);
         }
@@ -497,7 +499,7 @@
     ))
 }
 
-/// A change to one.
+/// A change of a small configuration.
 pub fn patch(version: u64, timeout: u64) -> Bytes {
     Bytes::from(format!(
         r#"{{"version":{version},"upsert":{{"routes":[{{"name":"r","hostname":"h.example","pathPrefix":"/a/","type":"async","timeoutMs":{timeout},"backend":"b"}}]}}}}"#
--- a/crates/control/tests/control/simulation/disk.rs
+++ b/crates/control/tests/control/simulation/disk.rs
@@ -1,8 +1,8 @@
-//! A disk that keeps on a loss of power only what was synced.
+//! A simulated disk that keeps only synced writes when power is lost.
 
 use bytes::Bytes;
 
-/// What a log holds: a snapshot and the records after it.
+/// The content of a log: a snapshot and the records after it.
 pub type Log = (Option<Bytes>, Vec<Bytes>);
 
 #[derive(Clone)]
@@ -14,37 +14,38 @@
 #[derive(Clone, Default)]
 pub struct Disk {
     synced: Log,
-    /// Written and not yet synced, in order.
-    open: Vec<(u64, Write)>,
+    /// Writes that are not yet synced, in order.
+    unsynced: Vec<(u64, Write)>,
 }
 
 impl Disk {
     pub fn append(&mut self, sequence: u64, records: Vec<Bytes>) {
-        self.open.push((sequence, Write::Records(records)));
+        self.unsynced.push((sequence, Write::Records(records)));
     }
 
     pub fn replace(&mut self, sequence: u64, snapshot: Bytes) {
-        self.open.push((sequence, Write::Snapshot(snapshot)));
+        self.unsynced.push((sequence, Write::Snapshot(snapshot)));
     }
 
-    /// All writes up to a sequence are on the disk.
+    /// Syncs all writes up to a sequence.
     pub fn sync(&mut self, sequence: u64) {
-        while self.open.first().is_some_and(|(number, _)| *number <= sequence) {
-            let (_, write) = self.open.remove(0);
+        while self.unsynced.first().is_some_and(|(number, _)| *number <= sequence) {
+            let (_, write) = self.unsynced.remove(0);
             apply(&mut self.synced, write);
         }
     }
 
-    /// The process ended; the machine did not. Sequences begin anew.
+    /// Ends the process but not the machine, so that all writes reach the disk. The next process numbers its writes
+    /// from the start.
     pub fn kill(&mut self) {
-        for (_, write) in std::mem::take(&mut self.open) {
+        for (_, write) in std::mem::take(&mut self.unsynced) {
             apply(&mut self.synced, write);
         }
     }
 
-    /// Power was lost: of what was not synced, the first `kept` writes are there.
+    /// Cuts the power: only the first `kept` of the unsynced writes survive.
     pub fn lose_power(&mut self, kept: usize) {
-        self.open.truncate(kept);
+        self.unsynced.truncate(kept);
         self.kill();
     }
 
@@ -52,9 +53,9 @@
         *self = Disk::default();
     }
 
-    /// A disk on which a snapshot lies and nothing else.
+    /// A disk that holds only a snapshot.
     pub fn with_snapshot(snapshot: Bytes) -> Self {
-        Disk { synced: (Some(snapshot), Vec::new()), open: Vec::new() }
+        Disk { synced: (Some(snapshot), Vec::new()), unsynced: Vec::new() }
     }
 
     pub fn log(&self) -> Log {
--- a/crates/control/tests/control/simulation/faults.rs
+++ b/crates/control/tests/control/simulation/faults.rs
@@ -1,23 +1,23 @@
-//! Trouble, drawn at random.
+//! Random fault injection.
 
 use pewterseam_wire::identity::Role;
 
-use super::cluster::{Cluster, DiskTrouble, MS};
+use super::cluster::{Cluster, DiskFault, MS};
 
-/// What may be done to a cluster whose first `core` nodes are its core.
+/// The faults that may be injected into a cluster whose first `core` nodes are its core.
 pub struct Faults {
     pub core: usize,
-    /// Disks of the core that may be lost in all.
+    /// The number of core disks that may still be lost.
     pub disks: usize,
-    /// Machines that may be replaced by new ones.
+    /// The number of machines that may still be replaced by new ones.
     pub spares: usize,
-    /// Whether disks stall, are slow or are full.
-    pub disk_trouble: bool,
+    /// Whether disks may stall, become slow or become full.
+    pub with_disk_faults: bool,
 }
 
 impl Faults {
-    /// Does one thing.
-    pub fn strike(&mut self, cluster: &mut Cluster) {
+    /// Injects one random fault, or ends some.
+    pub fn inject(&mut self, cluster: &mut Cluster) {
         let nodes = cluster.nodes.len();
         let victim = cluster.random.below(nodes);
         let member = cluster
@@ -25,10 +25,10 @@
             .filter(|_| cluster.random.below(2) == 0)
             .unwrap_or(cluster.random.below(self.core));
         let pause = (200 + cluster.random.below(2_500) as u64) * MS;
-        match cluster.random.below(if self.disk_trouble { 13 } else { 12 }) {
+        match cluster.random.below(if self.with_disk_faults { 13 } else { 12 }) {
             0 => cluster.drop_percent = 5,
-            1 => self.cut(cluster, true),
-            2 => self.cut(cluster, false),
+            1 => self.cut_links(cluster, true),
+            2 => self.cut_links(cluster, false),
             3 => {
                 cluster.cuts.clear();
                 cluster.drop_percent = 0;
@@ -43,26 +43,26 @@
                 cluster.start_after(member, pause);
             }
             7 if self.disks > 0 => {
-                // At most one disk at a time is lost, and never with a machine that went for good.
+                // At most one disk at a time is lost, and never together with a machine that is removed permanently.
                 self.spares = 0;
                 self.disks -= 1;
                 cluster.lose_disk(member);
                 cluster.start_after(member, pause);
             }
-            8 if self.spares > 0 && self.disks > 0 => self.replace(cluster, victim, pause),
+            8 if self.spares > 0 && self.disks > 0 => self.replace_machine(cluster, victim, pause),
             9 if cluster.nodes[victim].info.role == Role::Store => {
                 cluster.lose_disk(victim);
                 cluster.start_after(victim, pause);
             }
-            10 => self.all(cluster, false),
-            11 => self.all(cluster, true),
-            12 => self.disk_trouble(cluster, member),
+            10 => self.end_all_core_processes(cluster, false),
+            11 => self.end_all_core_processes(cluster, true),
+            12 => self.inject_disk_fault(cluster, member),
             _ => {}
         }
     }
 
-    /// Cuts some nodes from the others, in both directions or in one.
-    fn cut(&self, cluster: &mut Cluster, both: bool) {
+    /// Cuts some nodes off from the others, in both directions or in one.
+    fn cut_links(&self, cluster: &mut Cluster, both: bool) {
         let nodes = cluster.nodes.len();
         let side: Vec<bool> = (0..nodes).map(|_| cluster.random.below(3) == 0).collect();
         for from in 0..nodes {
@@ -77,20 +77,20 @@
         }
     }
 
-    /// A disk of the core stalls, is slow or is full, or all are well again.
-    fn disk_trouble(&self, cluster: &mut Cluster, member: usize) {
+    /// Makes a core disk stall, slow or full, or ends all disk faults.
+    fn inject_disk_fault(&self, cluster: &mut Cluster, member: usize) {
         let slower = (20 + cluster.random.below(800) as u64) * MS;
-        let trouble = match cluster.random.below(4) {
-            0 => DiskTrouble::Stalled,
-            1 => DiskTrouble::Full,
-            2 => DiskTrouble::Slow(slower),
+        let fault = match cluster.random.below(4) {
+            0 => DiskFault::Stalled,
+            1 => DiskFault::Full,
+            2 => DiskFault::Slow(slower),
             _ => return cluster.disks.clear(),
         };
-        cluster.disks.insert(member, trouble);
+        cluster.disks.insert(member, fault);
     }
 
-    /// A machine ends for good, and another comes.
-    fn replace(&mut self, cluster: &mut Cluster, victim: usize, pause: u64) {
+    /// Removes a machine permanently and adds a new one in its place.
+    fn replace_machine(&mut self, cluster: &mut Cluster, victim: usize, pause: u64) {
         self.spares -= 1;
         self.disks = 0;
         let (role, disk) = (cluster.nodes[victim].info.role, cluster.nodes[victim].info.disk.is_some());
@@ -100,8 +100,8 @@
         cluster.start_after(spare, pause);
     }
 
-    /// Every process of the core ends at the same moment.
-    fn all(&self, cluster: &mut Cluster, power: bool) {
+    /// Ends every process of the core at the same moment.
+    fn end_all_core_processes(&self, cluster: &mut Cluster, power: bool) {
         for member in 0..self.core {
             if power {
                 cluster.lose_power(member);
--- a/crates/control/tests/control/simulation/history.rs
+++ b/crates/control/tests/control/simulation/history.rs
@@ -1,65 +1,65 @@
-//! Whether what operators saw could have come of one register with compare-and-set, used by one of them at a time:
-//! linearizability, searched for as Wing and Gong do, with visited states remembered.
+//! Linearizability check: whether the answers that operators received could come from a single register with
+//! compare-and-set that executes one call at a time. The search follows Wing and Gong and remembers visited states.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What tells one order from another: the version that it builds on, and its bytes.
+/// Identifies an order: the version that it is based on, and its bytes.
 pub type OrderKey = (u64, Vec<u8>);
 
-/// What an operator asked for.
+/// The operation that an operator requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     Read,
-    /// Set the register to this version if it holds the one that the order builds on.
+    /// Set the register to this version if it holds the version that the order is based on.
     Change {
         order: OrderKey,
         version: u64,
     },
 }
 
-/// What an operator was told.
+/// The answer to an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Answer {
     Version(u64),
     Accepted,
     Refused,
-    /// Nothing clear: it has had its effect, will have it, or never will.
+    /// No clear answer: the operation has taken effect, will take effect, or never will.
     Nothing,
 }
 
-/// One call of an operator with all its repetitions.
+/// One call of an operator, including all its repetitions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
     pub called_at: u64,
-    /// When the clear answer came; the end of time without one.
+    /// When the clear answer arrived; the maximum time without one.
     pub answered_at: u64,
     pub action: Action,
-    pub told: Told,
+    pub answer: Answer,
 }
 
-/// The register, and the orders that have set it.
+/// The register, and the orders that it has accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Register {
     version: u64,
-    taken: BTreeSet<usize>,
+    accepted_orders: BTreeSet<usize>,
 }
 
-/// Operations of which no order of all calls explains one.
+/// Operations that do not fit into any sequential order of all calls.
 #[derive(Clone, PartialEq, Eq)]
-pub struct NoOrder {
+pub struct NotLinearizable {
     pub stuck: Vec<Operation>,
 }
 
-impl fmt::Debug for NoOrder {
+impl fmt::Debug for NotLinearizable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "no order of the calls explains one of these: {:?}", self.stuck)
     }
 }
 
-/// Finds an order of the operations of all operators, each of which acts one call after the other, that one register
-/// would have answered so. Returns the operations that no order has room for.
-pub fn check(operators: &[Vec<Operation>]) -> Result<(), NoOrder> {
+/// Searches for a sequential order of the operations in which a single register would have given the same answers.
+/// Each operator makes one call after the other. Returns the operations that fit into no such order.
+pub fn check(operators: &[Vec<Operation>]) -> Result<(), NotLinearizable> {
     let mut numbers: BTreeMap<&OrderKey, usize> = BTreeMap::new();
     for operation in operators.iter().flatten() {
         if let Action::Change { order, .. } = &operation.action {
@@ -69,12 +69,12 @@
     }
     let search = Search { operators, numbers };
     let mut visited = BTreeSet::new();
-    let mut deepest = vec![0; operators.len()];
-    if search.from(&vec![0; operators.len()], Register::default(), &mut visited, &mut deepest) {
+    let mut longest_prefix = vec![0; operators.len()];
+    if search.can_order(&vec![0; operators.len()], Register::default(), &mut visited, &mut longest_prefix) {
         return Ok(());
     }
-    let stuck = operators.iter().zip(&deepest).filter_map(|(operations, done)| operations.get(*done));
-    Err(NoOrder { stuck: stuck.cloned().collect() })
+    let stuck = operators.iter().zip(&longest_prefix).filter_map(|(operations, done)| operations.get(*done));
+    Err(NotLinearizable { stuck: stuck.cloned().collect() })
 }
 
 struct Search<'a> {
@@ -83,16 +83,16 @@
 }
 
 impl Search<'_> {
-    /// Whether the operations after those that are done can be put in order.
-    fn from(
+    /// Whether the operations that are not yet placed can be ordered.
+    fn can_order(
         &self, done: &[usize], register: Register, visited: &mut BTreeSet<(Vec<usize>, Register)>,
-        deepest: &mut Vec<usize>,
+        longest_prefix: &mut Vec<usize>,
     ) -> bool {
         if !visited.insert((done.to_vec(), register.clone())) {
             return false;
         }
-        if done.iter().sum::<usize>() > deepest.iter().sum() {
-            *deepest = done.to_vec();
+        if done.iter().sum::<usize>() > longest_prefix.iter().sum() {
+            *longest_prefix = done.to_vec();
         }
         let open = |operator: usize| self.operators[operator].get(done[operator]);
         let candidates: Vec<usize> =
@@ -100,7 +100,7 @@
         if candidates.is_empty() {
             return true;
         }
-        // One that was called after another had its answer does not come before it.
+        // An operation that was called after another one was answered cannot precede it.
         let first_answer =
             candidates.iter().filter_map(|operator| open(*operator)).map(|open| open.answered_at).min();
         candidates.into_iter().any(|operator| {
@@ -112,7 +112,7 @@
             next[operator] += 1;
             self.outcomes(operation, &register)
                 .into_iter()
-                .any(|register| self.from(&next, register, visited, deepest))
+                .any(|register| self.can_order(&next, register, visited, longest_prefix))
         })
     }
 
@@ -120,28 +120,28 @@
     fn outcomes(&self, operation: &Operation, register: &Register) -> Vec<Register> {
         let (order, version) = match &operation.action {
             Action::Read => {
-                let fits = match operation.told {
-                    Told::Version(version) => version == register.version,
-                    Told::Nothing => true,
-                    Told::Accepted | Told::Refused => false,
+                let fits = match operation.answer {
+                    Answer::Version(version) => version == register.version,
+                    Answer::Nothing => true,
+                    Answer::Accepted | Answer::Refused => false,
                 };
                 return if fits { vec![register.clone()] } else { Vec::new() };
             }
             Action::Change { order, version } => (order, *version),
         };
         let number = self.numbers[order];
-        let is_taken = register.taken.contains(&number);
-        let would_be_taken = !is_taken && register.version == order.0;
+        let is_accepted = register.accepted_orders.contains(&number);
+        let would_be_accepted = !is_accepted && register.version == order.0;
         let mut set = register.clone();
         set.version = version;
-        set.taken.insert(number);
-        match operation.told {
-            Told::Accepted if is_taken => vec![register.clone()],
-            Told::Accepted if would_be_taken => vec![set],
-            Told::Refused if !is_taken && !would_be_taken => vec![register.clone()],
-            Told::Nothing if would_be_taken => vec![set, register.clone()],
-            Told::Nothing => vec![register.clone()],
-            Told::Accepted | Told::Refused | Told::Version(_) => Vec::new(),
+        set.accepted_orders.insert(number);
+        match operation.answer {
+            Answer::Accepted if is_accepted => vec![register.clone()],
+            Answer::Accepted if would_be_accepted => vec![set],
+            Answer::Refused if !is_accepted && !would_be_accepted => vec![register.clone()],
+            Answer::Nothing if would_be_accepted => vec![set, register.clone()],
+            Answer::Nothing => vec![register.clone()],
+            Answer::Accepted | Answer::Refused | Answer::Version(_) => Vec::new(),
         }
     }
 }
--- a/crates/control/tests/control/simulation/mod.rs
+++ b/crates/control/tests/control/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A whole cluster of control machines in one process, on a simulated clock, network, membership and disks.
-//! Everything follows from one seed.
+//! A complete cluster of control state machines in one process, on a simulated clock, network, membership and disks.
+//! Each run is determined by one seed.
 
 pub mod checks;
 pub mod cluster;
--- a/crates/control/tests/control/simulation/repeats.rs
+++ b/crates/control/tests/control/simulation/repeats.rs
@@ -1,4 +1,4 @@
-//! Bytes of committed state that a node was sent before.
+//! Counts the bytes of committed state that a node is sent more than once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use pewterseam_wire::frame;
 use pewterseam_wire::placement::hash;
 
-/// What each node was sent of entries and states, and how much of it twice.
+/// The entries and state pieces that each node was sent, and the bytes of those that it was sent again.
 #[derive(Clone, Default)]
 pub struct Repeats {
     sent: BTreeSet<(usize, u64)>,
@@ -14,7 +14,7 @@
 }
 
 impl Repeats {
-    /// Notes a message to a node. Only entries and pieces of states count.
+    /// Records a message to a node. Only entries and pieces of states count.
     pub fn note(&mut self, to: usize, message: &ControlMessage) {
         if !matches!(message, ControlMessage::Entries { .. } | ControlMessage::StatePiece(_)) {
             return;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Bytes that a node was sent again.
+    /// The bytes that a node was sent again.
     pub fn to(&self, node: usize) -> usize {
         self.bytes.get(&node).copied().unwrap_or(0)
     }
