--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -49,7 +49,7 @@
 pub(crate) struct PendingRead {
     round: u64,
     pending_call: PendingCall,
-    question: ReadKind,
+    kind: ReadKind,
 }
 
 /// The leader's decision on a call.
@@ -89,10 +89,10 @@
         }
     }
 
-    fn queue_read(&mut self, pending_call: PendingCall, question: ReadKind) {
+    fn queue_read(&mut self, pending_call: PendingCall, kind: ReadKind) {
         let Role::Leader(leader) = &mut self.role else { return };
         let round = leader.round + 1;
-        leader.reads.push(PendingRead { round, pending_call, question });
+        leader.reads.push(PendingRead { round, pending_call, kind });
         self.start_round_for_reads();
     }
 
@@ -188,7 +188,7 @@
         leader.reads = waiting;
         for read in ready {
             let state = &self.replica.committed.state;
-            let outcome = match read.question {
+            let outcome = match read.kind {
                 ReadKind::Config => Outcome::Config(state.config.clone()),
                 ReadKind::Index | ReadKind::Lease => Outcome::Index(state.index),
                 ReadKind::Retire(node) => self.retire_state(&node),
@@ -204,8 +204,7 @@
     fn start_round_for_reads(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let is_round_done = leader.confirmed_round(&self.replica.accepted) >= leader.round;
-        let is_due =
-            |read: &PendingRead| read.round > leader.round && !matches!(read.question, ReadKind::Lease);
+        let is_due = |read: &PendingRead| read.round > leader.round && !matches!(read.kind, ReadKind::Lease);
         if is_round_done && leader.reads.iter().any(is_due) {
             self.start_round();
         }
--- a/crates/control/src/catch_up.rs
+++ b/crates/control/src/catch_up.rs
@@ -51,7 +51,7 @@
     announced: Option<AnnouncedEntry>,
     fetch_at: Option<Micros>,
     /// When the last request was sent, or something new arrived after it.
-    last_progress_at: Micros,
+    last_activity_at: Micros,
     turn: usize,
     incoming: Option<IncomingState>,
     /// The sender of the last piece.
@@ -69,7 +69,7 @@
             holder: None,
             announced: None,
             fetch_at: None,
-            last_progress_at: 0,
+            last_activity_at: 0,
             turn: 0,
             incoming: None,
             source: None,
@@ -94,7 +94,7 @@
     fn note_progress(&mut self, now: Micros) {
         self.timeout = FETCH_TIMEOUT;
         self.failures = 0;
-        self.last_progress_at = now;
+        self.last_activity_at = now;
         self.fetch_at = Some(now + self.timeout);
     }
 
@@ -103,13 +103,13 @@
     /// would load the link with the same data again.
     pub(crate) fn contact_restored(&mut self, now: Micros) {
         self.timeout = FETCH_TIMEOUT;
-        let timed_out_at = self.last_progress_at + FETCH_TIMEOUT;
+        let timed_out_at = self.last_activity_at + FETCH_TIMEOUT;
         self.fetch_at = self.fetch_at.map(|at| at.min(timed_out_at.max(now)));
     }
 
     /// Notes that a request was sent.
     fn request_sent(&mut self, now: Micros) {
-        self.last_progress_at = now;
+        self.last_activity_at = now;
         self.fetch_at = Some(now + self.timeout);
         self.timeout = (self.timeout * 2).min(MAX_FETCH_TIMEOUT);
     }
--- a/crates/control/src/core_members.rs
+++ b/crates/control/src/core_members.rs
@@ -54,7 +54,7 @@
             return Some(next);
         }
         let is_complete =
-            members.iter().all(|member| self.peers.is_live_member(member) && self.is_in_step(member));
+            members.iter().all(|member| self.peers.is_live_member(member) && self.is_in_sync(member));
         let joining = joining
             .find(|joining| is_complete && self.has_been_live_for(joining, self.settings.grow_after))?;
         Some(members.iter().cloned().chain([joining]).collect())
@@ -95,8 +95,7 @@
             return Some(Loss::Abandoned);
         }
         let mut members = self.replica.committed.core.current().iter();
-        let has_successor =
-            members.any(|other| self.peers.can_replace_node_gone_since(&other.name, since, self.started));
+        let has_successor = members.any(|other| self.peers.can_replace(&other.name, since, self.started));
         let loss = if has_successor { Loss::Replaced } else { Loss::Presumed };
         (gone_for > self.settings.replace_member_after).then_some(loss)
     }
@@ -116,7 +115,7 @@
         let is_joining = |member: &CoreMember| {
             !members.contains(member)
                 && self.has_been_live_for(member, self.settings.settle)
-                && self.is_in_step(member)
+                && self.is_in_sync(member)
         };
         let mut joining: Vec<CoreMember> = candidates.filter(is_joining).collect();
         let is_node_of_member =
@@ -130,7 +129,7 @@
     }
 
     /// Whether the member answers heartbeats and lacks at most a few entries of the committed state.
-    fn is_in_step(&self, member: &CoreMember) -> bool {
+    fn is_in_sync(&self, member: &CoreMember) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         let index = self.replica.committed.stamp.index.saturating_sub(MAX_LEARNER_LAG);
         leader.is_caught_up(member, index, self.now, self.settings.heartbeat + HEARTBEAT_ANSWER_TIMEOUT)
@@ -139,7 +138,7 @@
     /// Whether a majority of the new membership, with this process as a member, answers and knows the committed state.
     fn keeps_majority(&self, next: &CoreMembership) -> bool {
         let is_available =
-            |member: &&CoreMember| self.is_in_step(member) && self.peers.is_live_member(member);
+            |member: &&CoreMember| self.is_in_sync(member) && self.peers.is_live_member(member);
         let is_member = self.identity.as_ref().is_some_and(|own| next.current().contains(own));
         is_member && next.is_majority(next.voters().filter(is_available))
     }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -28,7 +28,7 @@
 
 /// A member's last heartbeat answer.
 #[derive(Clone)]
-struct HeartbeatRecord {
+struct HeartbeatAnswer {
     round: u64,
     at: Micros,
     committed: u64,
@@ -44,7 +44,7 @@
     pub queue: VecDeque<QueuedCall>,
     pub reads: Vec<PendingRead>,
     pub round: u64,
-    answers: BTreeMap<CoreMember, HeartbeatRecord>,
+    answers: BTreeMap<CoreMember, HeartbeatAnswer>,
     pub copied: BTreeMap<StoreId, PlacementEpoch>,
     next_heartbeat: Micros,
     next_housekeeping: Micros,
@@ -52,8 +52,8 @@
 
 impl Leader {
     pub(crate) fn new(epoch: u64, now: Micros, accepted: &Agreed) -> Self {
-        let initial_record =
-            |member: &CoreMember| (member.clone(), HeartbeatRecord { round: 0, at: now, committed: 0 });
+        let initial_answer =
+            |member: &CoreMember| (member.clone(), HeartbeatAnswer { round: 0, at: now, committed: 0 });
         Leader {
             epoch,
             is_serving: false,
@@ -61,7 +61,7 @@
             queue: VecDeque::new(),
             reads: Vec::new(),
             round: 0,
-            answers: accepted.core.voters().map(initial_record).collect(),
+            answers: accepted.core.voters().map(initial_answer).collect(),
             copied: BTreeMap::new(),
             next_heartbeat: now,
             next_housekeeping: now,
@@ -198,7 +198,7 @@
             return;
         }
         let at = self.now;
-        leader.answers.insert(member, HeartbeatRecord { round, at, committed });
+        leader.answers.insert(member, HeartbeatAnswer { round, at, committed });
         self.answer_reads();
     }
 
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -124,9 +124,7 @@
 
     /// Whether a node appeared when another failed, or later, so that it can replace the failed one. A node that was
     /// already there when this process started is not known to have appeared for this reason.
-    pub(crate) fn can_replace_node_gone_since(
-        &self, name: &NodeName, gone_since: Micros, started: Micros,
-    ) -> bool {
+    pub(crate) fn can_replace(&self, name: &NodeName, gone_since: Micros, started: Micros) -> bool {
         let Some(peer) = self.nodes.get(name) else { return false };
         let is_new = peer.first_seen > started + STARTUP_PERIOD;
         peer.is_live && is_new && peer.first_seen + MAX_FAILURE_DETECTION_DELAY > gone_since
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -150,11 +150,9 @@
         };
         let is_long_gone = self.now > since + self.settings.replace_after;
         let same_name = successors.iter().position(|new| new.id.name == entry.id.name);
-        let can_replace_node_gone_since =
-            |other: &StoreEntry| self.peers.can_replace_node_gone_since(&other.id.name, since, self.started);
-        let same_zone = successors
-            .iter()
-            .position(|new| is_long_gone && new.zone == entry.zone && can_replace_node_gone_since(new));
+        let can_replace = |other: &StoreEntry| self.peers.can_replace(&other.id.name, since, self.started);
+        let same_zone =
+            successors.iter().position(|new| is_long_gone && new.zone == entry.zone && can_replace(new));
         let Some(position) = same_name.or(same_zone) else { return false };
         successors.remove(position);
         true
--- a/crates/control/tests/control/earlier_processes.rs
+++ b/crates/control/tests/control/earlier_processes.rs
@@ -73,17 +73,17 @@
     for seed in 0..SEEDS {
         let change = OperatorRequest::put(1, document(2, "the operator's"));
         let mut cluster = call_in_two_processes(seed, &change, &OperatorRequest::ReadConfig);
-        let told = outcomes(&mut cluster, FIRST.0);
+        let received = outcomes(&mut cluster, FIRST.0);
         assert!(
-            matches!(told.as_slice(), [Outcome::Config(_) | Outcome::Unknown]),
-            "seed {seed}: a read was answered with {told:?}"
+            matches!(received.as_slice(), [Outcome::Config(_) | Outcome::Unknown]),
+            "seed {seed}: a read was answered with {received:?}"
         );
         let mut cluster = call_in_two_processes(seed, &OperatorRequest::ReadConfig, &change);
-        let told = outcomes(&mut cluster, FIRST.0);
+        let received = outcomes(&mut cluster, FIRST.0);
         let is_fitting = |outcome: &Outcome| {
             matches!(outcome, Outcome::Accepted { version: 2 } | Outcome::Conflict { .. } | Outcome::Unknown)
         };
-        assert!(told.iter().all(is_fitting), "seed {seed}: a change was answered with {told:?}");
+        assert!(received.iter().all(is_fitting), "seed {seed}: a change was answered with {received:?}");
     }
 }
 
--- a/crates/control/tests/control/other_epochs.rs
+++ b/crates/control/tests/control/other_epochs.rs
@@ -137,11 +137,11 @@
         self.execute(effects);
     }
 
-    /// Lets time pass until the member sends a message for which `tells` returns a value.
-    fn wait_for<T>(&mut self, tells: impl Fn(&ControlMessage) -> Option<T>) -> T {
+    /// Lets time pass until the member sends a message for which `extract` returns a value.
+    fn wait_for<T>(&mut self, extract: impl Fn(&ControlMessage) -> Option<T>) -> T {
         for _ in 0..1_000 {
-            if let Some(told) = self.sent.iter().find_map(&tells) {
-                return told;
+            if let Some(found) = self.sent.iter().find_map(&extract) {
+                return found;
             }
             self.run(10 * MS);
         }
--- a/crates/control/tests/control/simulation/history.rs
+++ b/crates/control/tests/control/simulation/history.rs
@@ -132,14 +132,14 @@
         let number = self.numbers[order];
         let is_accepted = register.accepted_orders.contains(&number);
         let would_be_accepted = !is_accepted && register.version == order.0;
-        let mut set = register.clone();
-        set.version = version;
-        set.accepted_orders.insert(number);
+        let mut changed = register.clone();
+        changed.version = version;
+        changed.accepted_orders.insert(number);
         match operation.answer {
             Answer::Accepted if is_accepted => vec![register.clone()],
-            Answer::Accepted if would_be_accepted => vec![set],
+            Answer::Accepted if would_be_accepted => vec![changed],
             Answer::Refused if !is_accepted && !would_be_accepted => vec![register.clone()],
-            Answer::Nothing if would_be_accepted => vec![set, register.clone()],
+            Answer::Nothing if would_be_accepted => vec![changed, register.clone()],
             Answer::Nothing => vec![register.clone()],
             Answer::Accepted | Answer::Refused | Answer::Version(_) => Vec::new(),
         }
