--- a/src/state/listing.rs
+++ b/src/state/listing.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::{Health, Host, Route, RouteId, State};
-use crate::interface::{DestinationId, HostId, Lifecycle, Listed, Listing, Micros, Settings};
+use crate::interface::{DestinationId, HostId, Lifecycle, ListedHost, Micros, Settings, WeightMeaning};
 
 impl State {
     pub fn hosts_of(&self, destination: DestinationId) -> impl Iterator<Item = (HostId, &Host)> {
@@ -52,7 +52,7 @@
     /// Applies entries of the registry's list; a host missing from a `whole` list is gone. `new` makes the
     /// route of a destination not seen before, or of a host whose kind has a route per host.
     pub fn apply_listing(
-        &mut self, entries: &[Listed], whole: bool, settings: &Settings, new: impl Fn(RouteId) -> Route,
+        &mut self, entries: &[ListedHost], whole: bool, settings: &Settings, new: impl Fn(RouteId) -> Route,
         now: Micros,
     ) {
         let named: BTreeSet<HostId> = entries.iter().map(|entry| entry.host).collect();
@@ -60,7 +60,7 @@
             host.lifecycle = Lifecycle::Gone;
         }
         for entry in entries {
-            let apart = settings.kinds[entry.kind].routes_apart;
+            let apart = settings.kinds[entry.kind].limit_per_host;
             let route = (entry.destination, apart.then_some(entry.host));
             if entry.lifecycle != Lifecycle::Gone {
                 self.routes.entry(route).or_insert_with(|| Route { refilled_at: now, ..new(route) });
@@ -71,7 +71,8 @@
             }
             if let Some((host, route)) = self.host_and_route(entry.host) {
                 host.lifecycle = entry.lifecycle;
-                route.listed = Some(entry.weight).filter(|_| settings.listing != Listing::Silent);
+                route.listed =
+                    Some(entry.weight).filter(|_| settings.weight_meaning != WeightMeaning::Ignored);
             }
         }
         // Without this, the state of hosts that are gone fills the memory over a long day. The state of a
@@ -95,7 +96,7 @@
     ) -> Settings {
         for (id, route) in &mut self.routes {
             route.is_home = homes(id.0, settings.senders, 0).contains(&settings.me);
-            route.is_alone = !settings.may_tell && settings.senders > 1;
+            route.is_alone = !settings.may_message_peers && settings.senders > 1;
         }
         settings
     }
@@ -133,41 +134,41 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::{Kind, Lateness};
+    use crate::interface::{Kind, ValueDecay};
 
     fn settings() -> Settings {
         Settings {
             me: 0,
             senders: 1,
             classes: Vec::new(),
-            kinds: vec![Kind { routes_apart: true, bundle: 1 }],
+            kinds: vec![Kind { limit_per_host: true, max_bundle: 1 }],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            lateness: Lateness::Linear,
+            over_quota_value: 1.0,
+            value_decay: ValueDecay::Linear,
             slots: 8,
-            most_held: 50,
+            max_held: 50,
             max_attempts: 3,
-            may_tell: false,
+            may_message_peers: false,
             max_retry_after: 0,
             idle_close: 1,
             connect_timeout: 1,
             ends_by_notice: false,
-            listing: Listing::Silent,
-            ask_registry: false,
-            ask_within: 0,
+            weight_meaning: WeightMeaning::Ignored,
+            polls_registry: false,
+            max_poll_pause: 0,
             drain_grace: 0,
             cold_share: 1.0,
             cold_time: 1,
             overload_factor: 1.0,
             overload_window: 1,
-            order_rest: 0,
+            order_cooldown: 0,
         }
     }
 
     #[test]
     fn nothing_is_kept_of_hosts_that_are_gone() {
         let (mut state, settings) = (State::default(), settings());
-        let listed = |host, lifecycle| Listed {
+        let listed = |host, lifecycle| ListedHost {
             host: HostId(host),
             zone: 0,
             kind: 0,
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::interface::{Class, HostId, MessageId, Micros, Ran, Request};
+use crate::interface::{Class, HostId, MessageId, Micros, PossibleRun, Request};
 
 /// An attempt without an outcome.
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
     /// The attempt in flight.
     pub in_flight: Option<Attempt>,
     /// The first attempt that may have run.
-    pub ran: Option<Ran>,
+    pub ran: Option<PossibleRun>,
     /// Whether the message has its final answer; it is kept only until its attempt has an outcome and its
     /// final result is reported.
     pub finished: bool,
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -33,12 +33,13 @@
     /// Accepts a message. If a restart cut off one of its attempts, its key is paused as after any attempt
     /// that may still run.
     pub fn accept(&mut self, request: Request, settings: &Settings) {
-        let History { attempts, ran, cut_at, over, .. } = request.history;
+        let History { attempts, possible_run: ran, interrupted_at: cut_at, given_up: over, .. } =
+            request.history;
         self.demand.entry(request.tenant).or_default().0 += 1.0;
         if let (Some(key), true) = (request.key, settings.classes[request.class].in_order) {
             let entry = self.keys.entry(key).or_default();
             entry.queue.push_back(request.id);
-            entry.paused_until = entry.paused_until.max(cut_at.map_or(0, |at| at + settings.order_rest));
+            entry.paused_until = entry.paused_until.max(cut_at.map_or(0, |at| at + settings.order_cooldown));
         }
         let message = Message { request, attempts, in_flight: None, ran, finished: over, unreported: over };
         self.messages.insert(request.id, message);
--- a/src/state/route.rs
+++ b/src/state/route.rs
@@ -5,7 +5,7 @@
 
 use super::numbers::seconds;
 use super::report::Report;
-use crate::interface::{Allowance, DestinationId, HostId, Micros};
+use crate::interface::{DestinationId, HostId, Micros, ReportedLimit};
 
 /// The id of a route: a destination, or one of its hosts where each host has a limit of its own.
 pub type RouteId = (DestinationId, Option<HostId>);
@@ -72,8 +72,8 @@
 
     /// Records the limit that the destination gave, if it did, with this weight in the moving average. The
     /// pool keeps its proportion to the limit.
-    pub fn record_limit(&mut self, limit: Option<Allowance>, weight: f64) {
-        if let Some(Allowance { rate, .. }) = limit {
+    pub fn record_limit(&mut self, limit: Option<ReportedLimit>, weight: f64) {
+        if let Some(ReportedLimit { rate, .. }) = limit {
             self.round_limit = Some(rate);
             self.update_limit(rate, weight);
         }
--- a/tests/brain.rs
+++ b/tests/brain.rs
@@ -32,7 +32,7 @@
 /// Has one call refused as full, so that calls are limited to shares.
 fn refuse_one_call(sender: &mut Sender) {
     let first = send_burst(sender, 1)[0];
-    sender.outcome(&first, Outcome::Full { wait: 0 });
+    sender.outcome(&first, Outcome::Rejected { wait: 0 });
 }
 
 /// Reports an outcome for whichever attempt of the message is in flight: the others are ignored.
@@ -42,7 +42,7 @@
 
 /// The same, with the destination's limit in the answer.
 fn end_with_limit(sender: &mut Sender, sent: Sent, outcome: Outcome, rate: f64) -> Vec<Action> {
-    let limit = Some(Allowance { rate, left: None });
+    let limit = Some(ReportedLimit { rate, left: None });
     let told = |attempt| {
         let Event::Ended(ended) = Sent { attempt, ..sent }.ended(outcome) else { unreachable!() };
         sender.step(vec![Event::Ended(Ended { limit, ..ended })])
@@ -90,7 +90,7 @@
         let sender = |me: u16| {
             let mut settings = settings();
             (settings.me, settings.senders) = (me, count);
-            (settings.slots, settings.most_held) = (50, 500);
+            (settings.slots, settings.max_held) = (50, 500);
             let seed = scattered(u64::from(me + 1), 0);
             Sender::seeded(seed, settings, &[listed(1, 1, 40.0)])
         };
@@ -211,7 +211,7 @@
 #[test]
 fn a_sender_that_is_no_longer_a_home_takes_at_most_an_even_share() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 60.0)]);
-    sender.step(vec![Event::Retuned(Settings { me: 30, senders: 60, ..settings() })]);
+    sender.step(vec![Event::SettingsChanged(Settings { me: 30, senders: 60, ..settings() })]);
     refuse_one_call(&mut sender);
     let count = serve_burst(&mut sender, 50, 10 * SECOND);
     assert!(count <= 20, "{count} in 10 s, from a pool of 60 a second shared by 60 senders");
@@ -233,7 +233,8 @@
         out.extend(fleet.advance());
         room = (room + 0.4).min(20.0);
         while let Some((me, sent)) = out.pop() {
-            let (outcome, used) = if room < 1.0 { (Outcome::Full { wait: 0 }, 0) } else { (Outcome::Ok, 1) };
+            let (outcome, used) =
+                if room < 1.0 { (Outcome::Rejected { wait: 0 }, 0) } else { (Outcome::Ok, 1) };
             calls[round] += used;
             room -= f64::from(used);
             for attempt in 0..6 {
@@ -285,7 +286,7 @@
     for _ in 0..10 {
         // Each round one call is refused and then served.
         for sent in send_burst(&mut sender, 1) {
-            end_attempt(&mut sender, sent, Outcome::Full { wait: 0 });
+            end_attempt(&mut sender, sent, Outcome::Rejected { wait: 0 });
         }
         count_served(&mut sender, 2 * SECOND);
     }
@@ -314,7 +315,7 @@
 fn a_demanded_wait_holds_every_message_and_does_not_end_in_a_burst() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 4.0), listed(2, 1, 4.0)]);
     let first = send_burst(&mut sender, 1)[0];
-    sender.outcome(&first, Outcome::Full { wait: SECOND });
+    sender.outcome(&first, Outcome::Rejected { wait: SECOND });
     assert!(send_burst(&mut sender, 5).is_empty());
     assert!(sends(&sender.advance(SECOND)).is_empty());
     assert!(sends(&sender.advance(100 * MILLI)).len() <= 2);
@@ -323,12 +324,12 @@
 #[test]
 fn each_message_of_a_call_has_a_wait_of_its_own() {
     let mut settings = settings();
-    settings.kinds[0].bundle = 3;
+    settings.kinds[0].max_bundle = 3;
     let mut sender = Sender::new(settings, &[listed(1, 1, 4.0)]);
     let bundle = send_burst(&mut sender, 2);
-    sender.outcome(&bundle[0], Outcome::Full { wait: 500 * MILLI });
+    sender.outcome(&bundle[0], Outcome::Rejected { wait: 500 * MILLI });
     sender.now += 20 * MILLI;
-    sender.outcome(&bundle[1], Outcome::Full { wait: 500 * MILLI });
+    sender.outcome(&bundle[1], Outcome::Rejected { wait: 500 * MILLI });
     assert!(sends(&sender.advance(500 * MILLI)).is_empty());
 }
 
@@ -349,7 +350,7 @@
 fn a_single_shot_message_that_did_not_run_is_retried() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 4.0)]);
     let (id, actions) = sender.submit(ONCE, 1);
-    sender.outcome(&sends(&actions)[0], Outcome::Full { wait: 0 });
+    sender.outcome(&sends(&actions)[0], Outcome::Rejected { wait: 0 });
     assert!(sends(&sender.advance(3 * SECOND)).iter().any(|sent| sent.id == id));
 }
 
@@ -360,7 +361,7 @@
     let actions = sender.outcome(&sends(&actions)[0], Outcome::Error);
     // It is retried within the window and then refused until the window is over.
     let again = Sent { attempt: 1, ..sends(&actions)[0] };
-    sender.outcome(&again, Outcome::Full { wait: 10 * SECOND });
+    sender.outcome(&again, Outcome::Rejected { wait: 10 * SECOND });
     let actions = sender.advance(4 * SECOND);
     assert!(sends(&actions).is_empty());
     assert!(refused(&actions).contains(&id) || failed(&actions).contains(&id));
@@ -369,7 +370,7 @@
 #[test]
 fn a_message_whose_repeats_are_dropped_in_one_zone_is_retried_only_there() {
     for key in 0..8 {
-        let at = |host, zone| Listed { zone, ..listed(host, 1, 6.0) };
+        let at = |host, zone| ListedHost { zone, ..listed(host, 1, 6.0) };
         // The sender's own zone is 0; which host is chosen first differs.
         let hosts = [at(key + 1, 1), at(key + 11, 2), at(key + 21, 1), at(key + 31, 2)];
         let zone = |host: HostId| hosts.iter().find(|entry| entry.host == host).map(|entry| entry.zone);
@@ -384,7 +385,7 @@
 #[test]
 fn a_message_that_ran_in_an_unknown_zone_is_not_sent_again() {
     let mut sender = Sender::new(zoned(), &[listed(1, 1, 6.0)]);
-    let history = History { ran: Some(Ran { at: START, zone: None }), ..ran_at(START) };
+    let history = History { possible_run: Some(PossibleRun { at: START, zone: None }), ..ran_at(START) };
     let request = Request { history, ..sender.request(GUARDED, 1) };
     let mut actions = sender.step(vec![Event::Message(request)]);
     actions.extend(sender.advance(4 * SECOND));
@@ -393,7 +394,7 @@
 
 #[test]
 fn every_message_is_answered_by_its_deadline_even_without_an_outcome() {
-    let draining = Listed { lifecycle: Lifecycle::Draining, ..listed(2, 9, 4.0) };
+    let draining = ListedHost { lifecycle: Lifecycle::Draining, ..listed(2, 9, 4.0) };
     let mut sender = Sender::new(settings(), &[listed(1, 1, 4.0), draining]);
     let (id, _) = sender.submit(ONCE, 1);
     let (stranded, _) = sender.submit(FREE, 9);
@@ -434,7 +435,7 @@
 fn messages_of_least_value_are_rejected_when_room_runs_short() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 4.0)]);
     let (_, actions) = sender.submit(FREE, 1);
-    sender.outcome(&sends(&actions)[0], Outcome::Full { wait: 9 * SECOND });
+    sender.outcome(&sends(&actions)[0], Outcome::Rejected { wait: 9 * SECOND });
     let valuable: Vec<_> = (0..30).map(|_| sender.submit(ONCE, 1).0).collect();
     let mut rejected = Vec::new();
     for _ in 0..35 {
@@ -448,7 +449,7 @@
 fn a_refusal_for_lack_of_room_carries_retry_after() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 4.0)]);
     let (_, actions) = sender.submit(FREE, 1);
-    sender.outcome(&sends(&actions)[0], Outcome::Full { wait: 9 * SECOND });
+    sender.outcome(&sends(&actions)[0], Outcome::Rejected { wait: 9 * SECOND });
     let actions: Vec<_> = (0..70).flat_map(|_| sender.submit(FREE, 1).1).collect();
     let waits = actions.iter().filter_map(|action| match action {
         Action::Refuse { retry_after, .. } => Some(*retry_after),
@@ -602,7 +603,7 @@
                 actions.extend(sender.submit(FREE, 1).1);
                 let mut out = sends(&actions);
                 while let Some(sent) = out.pop() {
-                    let outcome = if room > 0 { Outcome::Ok } else { Outcome::Full { wait: 0 } };
+                    let outcome = if room > 0 { Outcome::Ok } else { Outcome::Rejected { wait: 0 } };
                     served += room.min(1);
                     room = room.saturating_sub(1);
                     out.extend(sends(&end_with_limit(&mut sender, sent, outcome, limit as f64)));
@@ -653,8 +654,8 @@
             sender.now += 100 * MILLI;
             for (sent, kept) in out.iter().zip(kept) {
                 let Event::Ended(ended) = sent.ended(Outcome::Ok) else { unreachable!() };
-                let carrier = Some(Carrier { idle_for: None, kept });
-                sender.step(vec![Event::Ended(Ended { carrier, ..ended })]);
+                let carrier = Some(ConnectionUse { idle_for: None, kept });
+                sender.step(vec![Event::Ended(Ended { connection: carrier, ..ended })]);
             }
         }
         let next = send_burst(&mut sender, 1)[0].host;
@@ -693,8 +694,8 @@
 
 #[test]
 fn rarely_used_connections_are_not_kept_where_tables_are_full() {
-    let kinds = vec![Kind { routes_apart: false, bundle: 1 }; 2];
-    let of_kind = |host, kind, weight| Listed { kind, ..listed(host, host as DestinationId, weight) };
+    let kinds = vec![Kind { limit_per_host: false, max_bundle: 1 }; 2];
+    let of_kind = |host, kind, weight| ListedHost { kind, ..listed(host, host as DestinationId, weight) };
     let hosts = [of_kind(1, 0, 4.0), of_kind(2, 0, 400.0), of_kind(3, 1, 4.0)];
     let mut sender = Sender::new(Settings { kinds, senders: 200, ..settings() }, &hosts);
     let mut kept = |destination| keeps_connection(&mut sender, destination);
@@ -755,7 +756,7 @@
     assert_eq!(closed(&actions), [1, 2], "all hosts of the kind except the often used one");
     assert!(!keeps_connection(&mut other, 2) && keeps_connection(&mut other, 3));
     // A sender whose call is refused keeps no connection either.
-    assert_eq!(closed(&call(&mut other, Outcome::Full { wait: 0 })), [1]);
+    assert_eq!(closed(&call(&mut other, Outcome::Rejected { wait: 0 })), [1]);
 }
 
 // ---- Limits that refused calls use up
@@ -763,15 +764,15 @@
 /// Ends a first call as full, with the given limit data from the destination.
 fn refuse_call(sender: &mut Sender, wait: Micros, left: Option<f64>) -> Vec<Action> {
     let sent = sends(&sender.submit(FREE, 1).1)[0];
-    let limit = Some(Allowance { rate: 4.0, left });
+    let limit = Some(ReportedLimit { rate: 4.0, left });
     let ended = Ended {
         id: sent.id,
         attempt: 0,
-        outcome: Outcome::Full { wait },
+        outcome: Outcome::Rejected { wait },
         took: 50 * MILLI,
         closed: true,
         limit,
-        carrier: None,
+        connection: None,
     };
     sender.step(vec![Event::Ended(ended)])
 }
@@ -1005,7 +1006,7 @@
             sender.step(vec![health_message(3, Purpose::Verdict, false)]);
         }
         sender.now += 4 * SECOND;
-        sender.step(vec![Event::Registry(RegistryNews::Changes(vec![listed(2, 1, 4.0)]))]);
+        sender.step(vec![Event::Registry(RegistryUpdate::Changes(vec![listed(2, 1, 4.0)]))]);
         sends(&sender.submit(FREE, 1).1).len()
     });
     assert_eq!(sent, [0, 1]);
@@ -1085,8 +1086,8 @@
 #[test]
 fn a_draining_host_gets_no_new_calls_while_another_exists() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 10.0), listed(2, 1, 10.0)]);
-    let draining = Listed { lifecycle: Lifecycle::Draining, ..listed(1, 1, 10.0) };
-    sender.step(vec![Event::Registry(RegistryNews::Changes(vec![draining]))]);
+    let draining = ListedHost { lifecycle: Lifecycle::Draining, ..listed(1, 1, 10.0) };
+    sender.step(vec![Event::Registry(RegistryUpdate::Changes(vec![draining]))]);
     let sent = send_burst(&mut sender, 4);
     assert!(!sent.is_empty() && sent.iter().all(|sent| sent.host == HostId(2)));
 }
@@ -1094,10 +1095,10 @@
 #[test]
 fn the_last_host_gets_no_new_calls_once_it_drains() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 10.0)]);
-    let draining = Listed { lifecycle: Lifecycle::Draining, ..listed(1, 1, 10.0) };
-    sender.step(vec![Event::Registry(RegistryNews::Changes(vec![draining]))]);
+    let draining = ListedHost { lifecycle: Lifecycle::Draining, ..listed(1, 1, 10.0) };
+    sender.step(vec![Event::Registry(RegistryUpdate::Changes(vec![draining]))]);
     assert!(sends(&sender.submit(FREE, 1).1).is_empty());
-    let replacement = RegistryNews::Changes(vec![listed(2, 1, 10.0)]);
+    let replacement = RegistryUpdate::Changes(vec![listed(2, 1, 10.0)]);
     assert_eq!(
         sends(&sender.step(vec![Event::Registry(replacement)])).len(),
         1,
@@ -1107,23 +1108,23 @@
 
 #[test]
 fn a_registry_that_must_be_asked_is_asked_again_with_growing_backoff() {
-    let settings = Settings { ask_registry: true, ..settings() };
+    let settings = Settings { polls_registry: true, ..settings() };
     let mut sender = Sender::new(settings.clone(), &[]);
     let mut asked = Vec::new();
     for _ in 0..4000 {
         sender.now += 10 * MILLI;
         if sender.step(vec![Event::Timer]).contains(&Action::Subscribe) {
             asked.push(sender.now);
-            sender.step(vec![Event::Registry(RegistryNews::Failed)]);
+            sender.step(vec![Event::Registry(RegistryUpdate::Failed)]);
         }
         if asked.is_empty() {
-            sender.step(vec![Event::Registry(RegistryNews::Failed)]);
+            sender.step(vec![Event::Registry(RegistryUpdate::Failed)]);
             asked.push(sender.now);
         }
     }
     let pauses: Vec<_> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(pauses.len() >= 4 && pauses.is_sorted());
-    assert!(pauses.iter().all(|pause| *pause <= settings.ask_within + 20 * MILLI));
+    assert!(pauses.iter().all(|pause| *pause <= settings.max_poll_pause + 20 * MILLI));
 }
 
 // The registry has more calls than it can answer. If all senders retry at once, each call queues until it is
@@ -1134,11 +1135,11 @@
     for senders in [2, 50, 300] {
         let mut asked = vec![Vec::new(); usize::from(senders)];
         for (seed, asked) in asked.iter_mut().enumerate() {
-            let settings = Settings { ask_registry: true, ask_within: 0, senders, ..settings() };
+            let settings = Settings { polls_registry: true, max_poll_pause: 0, senders, ..settings() };
             let mut sender = Sender::seeded(scattered(1 + seed as u64, 0), settings, &[]);
             for _ in 0..6000 {
                 sender.now += 10 * MILLI;
-                let refused = Event::Registry(RegistryNews::Refused);
+                let refused = Event::Registry(RegistryUpdate::Overloaded);
                 if asked.is_empty() || sender.step(vec![Event::Timer]).contains(&Action::Subscribe) {
                     asked.push(sender.now);
                     sender.step(vec![refused]);
@@ -1177,7 +1178,7 @@
     let mut sender = Sender::new(settings(), &[listed(1, 1, 6.0), listed(2, 2, 6.0)]);
     let (id, actions) = sender.submit(FREE, 3);
     assert_eq!(refused(&actions), [id]);
-    sender.step(vec![Event::Registry(RegistryNews::Whole(vec![listed(1, 1, 6.0)]))]);
+    sender.step(vec![Event::Registry(RegistryUpdate::FullList(vec![listed(1, 1, 6.0)]))]);
     let (_, actions) = sender.submit(FREE, 2);
     assert_eq!(refused(&actions), []);
     // Before the first list nothing is known, and messages held before a restart keep their place.
@@ -1244,13 +1245,13 @@
 
 /// The history of one attempt that was sent at this time and may have run.
 fn ran_at(at: Micros) -> History {
-    History { attempts: 1, ran: Some(Ran { at, zone: Some(0) }), ..History::default() }
+    History { attempts: 1, possible_run: Some(PossibleRun { at, zone: Some(0) }), ..History::default() }
 }
 
 #[test]
 fn a_single_shot_message_that_may_have_run_before_a_restart_is_failed() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 6.0)]);
-    let history = History { cut_at: Some(START), ..ran_at(START - SECOND) };
+    let history = History { interrupted_at: Some(START), ..ran_at(START - SECOND) };
     let request = Request { history, ..sender.request(ONCE, 1) };
     let actions = sender.step(vec![Event::Message(request)]);
     assert_eq!((failed(&actions), sends(&actions)), (vec![request.id], vec![]));
@@ -1269,7 +1270,7 @@
 #[test]
 fn a_key_is_paused_after_a_call_that_a_restart_cut_off() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 6.0)]);
-    let history = History { cut_at: Some(START), ..ran_at(START) };
+    let history = History { interrupted_at: Some(START), ..ran_at(START) };
     let request = Request { history, key: Some(5), ..sender.request(GUARDED, 1) };
     assert_eq!(sends(&sender.step(vec![Event::Message(request)])), []);
     assert_eq!(sends(&sender.advance(490 * MILLI)), []);
@@ -1280,7 +1281,7 @@
 #[test]
 fn a_message_that_was_given_up_blocks_its_key_until_its_result_is_reported() {
     let mut sender = Sender::new(Settings { ends_by_notice: true, ..settings() }, &[listed(1, 1, 6.0)]);
-    let over = History { over: true, ..History::default() };
+    let over = History { given_up: true, ..History::default() };
     let first = Request { history: over, key: Some(5), ..sender.request(GUARDED, 1) };
     let second = Request { key: Some(5), ..sender.request(GUARDED, 1) };
     let actions = sender.step(vec![Event::Message(first), Event::Message(second)]);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,7 +18,7 @@
         effect,
         value,
         late_share: 0.2,
-        aim: 2 * SECOND,
+        target_latency: 2 * SECOND,
         deadline: 12 * SECOND,
         in_order,
     };
@@ -31,27 +31,27 @@
             class(guarded, 2.0, true),
             class(Effect::SingleShot, 4.0, false),
         ],
-        kinds: vec![Kind { routes_apart: false, bundle: 1 }],
+        kinds: vec![Kind { limit_per_host: false, max_bundle: 1 }],
         tenants: Vec::new(),
-        over_share_worth: 1.0,
-        lateness: Lateness::Linear,
+        over_quota_value: 1.0,
+        value_decay: ValueDecay::Linear,
         slots: 8,
-        most_held: 60,
+        max_held: 60,
         max_attempts: 6,
-        may_tell: true,
+        may_message_peers: true,
         max_retry_after: 3 * SECOND,
         idle_close: 15 * SECOND,
         connect_timeout: SECOND,
         ends_by_notice: false,
-        listing: Listing::Nominal,
-        ask_registry: false,
-        ask_within: 10 * SECOND,
+        weight_meaning: WeightMeaning::ExactRate,
+        polls_registry: false,
+        max_poll_pause: 10 * SECOND,
         drain_grace: SECOND,
         cold_share: 0.2,
         cold_time: 10 * SECOND,
         overload_factor: 2.0,
         overload_window: 3 * SECOND,
-        order_rest: 500 * MILLI,
+        order_cooldown: 500 * MILLI,
     }
 }
 
@@ -62,9 +62,9 @@
     settings
 }
 
-pub fn listed(host: u64, destination: DestinationId, weight: f64) -> Listed {
+pub fn listed(host: u64, destination: DestinationId, weight: f64) -> ListedHost {
     let lifecycle = Lifecycle::Ready;
-    Listed { host: HostId(host), zone: 0, kind: 0, destination, lifecycle, weight }
+    ListedHost { host: HostId(host), zone: 0, kind: 0, destination, lifecycle, weight }
 }
 
 pub struct Sender {
@@ -75,14 +75,14 @@
 }
 
 impl Sender {
-    pub fn new(settings: Settings, hosts: &[Listed]) -> Self {
+    pub fn new(settings: Settings, hosts: &[ListedHost]) -> Self {
         Sender::seeded(7, settings, hosts)
     }
 
-    pub fn seeded(seed: u64, settings: Settings, hosts: &[Listed]) -> Self {
+    pub fn seeded(seed: u64, settings: Settings, hosts: &[ListedHost]) -> Self {
         let mut sender =
             Sender { brain: Brain::new(settings.clone(), seed), now: START, settings, last_id: 0 };
-        sender.step(vec![Event::Registry(RegistryNews::Whole(hosts.to_vec()))]);
+        sender.step(vec![Event::Registry(RegistryUpdate::FullList(hosts.to_vec()))]);
         sender
     }
 
@@ -137,7 +137,7 @@
             took: 200 * MILLI,
             closed: outcome == Outcome::Ok,
             limit: None,
-            carrier: None,
+            connection: None,
         })
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -57,7 +57,7 @@
 }
 
 impl Fleet {
-    fn new(settings: Settings, seed: u64, list: &[Listed]) -> Self {
+    fn new(settings: Settings, seed: u64, list: &[ListedHost]) -> Self {
         let of = |me: u16| Settings { me, ..settings.clone() };
         let brain = |me: u16| Brain::new(of(me), seed * 1_000 + u64::from(me) + 1);
         let brains: Vec<_> = (0..settings.senders).map(brain).collect();
@@ -71,7 +71,7 @@
             seed,
         };
         for me in 0..fleet.brains.len() {
-            fleet.later(STEP, me, Event::Registry(RegistryNews::Whole(list.to_vec())));
+            fleet.later(STEP, me, Event::Registry(RegistryUpdate::FullList(list.to_vec())));
         }
         fleet
     }
@@ -80,11 +80,11 @@
         self.due.entry(self.now + span).or_default().push((me, event));
     }
 
-    fn answer(&mut self, call: &Call, outcome: Outcome, limit: Option<Allowance>) {
+    fn answer(&mut self, call: &Call, outcome: Outcome, limit: Option<ReportedLimit>) {
         let Call { id, attempt, from, timeout } = *call;
         let closed = outcome == Outcome::Ok;
         let took = if outcome == Outcome::Timeout { timeout.next_multiple_of(STEP) } else { ANSWER_TIME };
-        let ended = Ended { id, attempt, outcome, took, closed, limit, carrier: None };
+        let ended = Ended { id, attempt, outcome, took, closed, limit, connection: None };
         self.later(took, from, Event::Ended(ended));
     }
 
@@ -135,7 +135,7 @@
 /// Share of the submitted messages that succeed in the last half of two minutes, at a mean load of three
 /// quarters of a limit after a burst over it at the start.
 fn served_without_peers(senders: u16, seed: u64) -> f64 {
-    let settings = Settings { senders, may_tell: false, ..settings() };
+    let settings = Settings { senders, may_message_peers: false, ..settings() };
     let rate = f64::from(senders.max(60)) / 5.0;
     let mut fleet = Fleet::new(settings, seed, &[listed(1, 1, rate)]);
     let mut limit = Limit::new(rate, 0.5);
@@ -146,8 +146,9 @@
         limit.advance();
         for call in fleet.step(rate * if burst { 1.5 } else { 0.75 }) {
             let accepts = limit.accepts();
-            let told = Some(Allowance { rate: limit.rate, left: Some((limit.left / limit.room).max(0.0)) });
-            let outcome = if accepts { Outcome::Ok } else { Outcome::Full { wait: 0 } };
+            let told =
+                Some(ReportedLimit { rate: limit.rate, left: Some((limit.left / limit.room).max(0.0)) });
+            let outcome = if accepts { Outcome::Ok } else { Outcome::Rejected { wait: 0 } };
             fleet.answer(&call, outcome, told);
             served += u64::from(accepts && fleet.now > half);
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,7 +17,7 @@
     attempts: u32,
     /// Host of the attempt in flight, when it was sent, and when it times out.
     in_flight: Option<(HostId, Micros, Micros)>,
-    ran: Option<Ran>,
+    ran: Option<PossibleRun>,
     answered: bool,
     /// Its final result is decided, but the client has not received it.
     unreported: bool,
@@ -79,17 +79,24 @@
         let mut events = Vec::new();
         for known in self.known.values_mut() {
             let cut = known.in_flight.take();
-            known.ran = known.ran.or(cut.map(|(host, at, _)| Ran { at, zone: Some(zone(host)) }));
+            known.ran = known.ran.or(cut.map(|(host, at, _)| PossibleRun { at, zone: Some(zone(host)) }));
             if let (Some((_, paused_until)), Some(_)) =
                 (known.request.key.and_then(|key| self.keys.get_mut(&key)), cut)
             {
-                *paused_until = now + self.settings.order_rest;
+                *paused_until = now + self.settings.order_cooldown;
             }
             if !known.answered || known.unreported {
                 let (attempts, ran) = (known.attempts, known.ran);
                 let failed_at = (known.attempts > 1).then_some(0);
                 let (cut_at, over) = (cut.map(|_| now), known.answered);
-                let history = History { restored: true, attempts, ran, failed_at, cut_at, over };
+                let history = History {
+                    restored: true,
+                    attempts,
+                    possible_run: ran,
+                    failed_at,
+                    interrupted_at: cut_at,
+                    given_up: over,
+                };
                 events.push(Event::Message(Request { history, ..known.request }));
             }
         }
@@ -98,7 +105,7 @@
 
     fn check_send(&mut self, now: Micros, id: MessageId, host: HostId, timeout: Micros) {
         // Messages of one call share a slot.
-        let slots = self.settings.slots * self.settings.kinds[0].bundle;
+        let slots = self.settings.slots * self.settings.kinds[0].max_bundle;
         let in_flight = self.in_flight().count();
         let known = self.known.get_mut(&id).expect("unknown message");
         let class = &self.settings.classes[known.request.class];
@@ -139,14 +146,14 @@
         let known = self.known.get_mut(&id).expect("no attempt in flight");
         let (host, sent_at, _) = known.in_flight.take().expect("no attempt in flight");
         if outcome.may_have_run() {
-            known.ran.get_or_insert(Ran { at: sent_at, zone: Some(zone(host)) });
+            known.ran.get_or_insert(PossibleRun { at: sent_at, zone: Some(zone(host)) });
         }
         if let (Some((_, paused_until)), true) =
             (known.request.key.and_then(|key| self.keys.get_mut(&key)), outcome.may_still_run())
         {
-            *paused_until = now + self.settings.order_rest;
+            *paused_until = now + self.settings.order_cooldown;
         }
-        if let Outcome::Full { wait } = outcome {
+        if let Outcome::Rejected { wait } = outcome {
             let until = self.waits.entry(route(&self.settings, known.request.destination, host)).or_default();
             *until = (*until).max(now + wait);
         }
@@ -159,7 +166,7 @@
             took: now - sent_at,
             closed,
             limit: None,
-            carrier: None,
+            connection: None,
         }
     }
 }
@@ -171,15 +178,15 @@
 
 /// The route that a wait applies to.
 fn route(settings: &Settings, destination: DestinationId, host: HostId) -> (DestinationId, Option<HostId>) {
-    (destination, settings.kinds[0].routes_apart.then_some(host))
+    (destination, settings.kinds[0].limit_per_host.then_some(host))
 }
 
 fn outcome(draw: u8, outcome_shift: u8) -> Outcome {
     match draw.wrapping_add(outcome_shift.wrapping_mul(37)) % 12 {
         0..=5 => Outcome::Ok,
         6 => Outcome::Error,
-        7 => Outcome::Full { wait: 0 },
-        8 => Outcome::Full { wait: u64::from(draw) * 20 * MILLI },
+        7 => Outcome::Rejected { wait: 0 },
+        8 => Outcome::Rejected { wait: u64::from(draw) * 20 * MILLI },
         9 => Outcome::Reset,
         10 => Outcome::ConnectFailed,
         _ => Outcome::Cancelled,
@@ -190,7 +197,7 @@
 fn run_sequence(settings: Settings, draws: &[(u8, u8, u8)]) {
     let mut now = START;
     let hosts = [(1, 1), (2, 1), (3, 2), (4, 3), (5, 3)]
-        .map(|(host, place)| Listed { zone: zone(HostId(host)), ..listed(host, place, 6.0) });
+        .map(|(host, place)| ListedHost { zone: zone(HostId(host)), ..listed(host, place, 6.0) });
     let mut brain = Brain::new(settings.clone(), 11);
     let mut checker = RuleChecker {
         settings: settings.clone(),
@@ -201,7 +208,7 @@
     };
     let mut next = 0;
     let mut outcome_shift = 0;
-    let mut events = vec![Event::Registry(RegistryNews::Whole(hosts.to_vec()))];
+    let mut events = vec![Event::Registry(RegistryUpdate::FullList(hosts.to_vec()))];
     for (kind, choice, pause) in draws {
         match kind % 16 {
             0..=6 => {
@@ -244,8 +251,8 @@
                 let (destination, draining_since) = checker.hosts[&host];
                 let draining_since = (lifecycle != Lifecycle::Ready).then(|| draining_since.unwrap_or(now));
                 checker.hosts.insert(host, (destination, draining_since));
-                let entry = Listed { lifecycle, zone: zone(host), ..listed(host.0, destination, 6.0) };
-                events.push(Event::Registry(RegistryNews::Changes(vec![entry])));
+                let entry = ListedHost { lifecycle, zone: zone(host), ..listed(host.0, destination, 6.0) };
+                events.push(Event::Registry(RegistryUpdate::Changes(vec![entry])));
             }
             14 => {
                 let mut bytes = vec![1, choice % 2, 0, choice % 4, choice % 3, 1, 0, *pause, 3, 0, *choice];
@@ -255,7 +262,7 @@
             _ if *choice < 32 => {
                 // A restart: the messages held are lost, or restored from a journal.
                 brain = Brain::new(settings.clone(), 12);
-                events = vec![Event::Registry(RegistryNews::Whole(hosts.to_vec()))];
+                events = vec![Event::Registry(RegistryUpdate::FullList(hosts.to_vec()))];
                 events.extend(checker.restart(now));
             }
             _ if choice % 2 == 0 => {
@@ -302,13 +309,27 @@
 fn the_rules_hold_for_random_event_sequences() {
     let variants = [
         settings(),
-        Settings { may_tell: false, listing: Listing::Silent, ..settings() },
-        Settings { most_held: 12, slots: 2, max_attempts: 3, listing: Listing::Rough, ..settings() },
+        Settings { may_message_peers: false, weight_meaning: WeightMeaning::Ignored, ..settings() },
+        Settings {
+            max_held: 12,
+            slots: 2,
+            max_attempts: 3,
+            weight_meaning: WeightMeaning::ApproximateRate,
+            ..settings()
+        },
         Settings { ends_by_notice: true, ..settings() },
-        Settings { ends_by_notice: true, order_rest: 0, slots: 3, max_attempts: 4, ..settings() },
-        Settings { kinds: vec![Kind { routes_apart: false, bundle: 3 }], order_rest: 0, ..settings() },
-        Settings { kinds: vec![Kind { routes_apart: true, bundle: 3 }], ends_by_notice: true, ..zoned() },
-        Settings { drain_grace: 250 * MILLI, lateness: Lateness::Halving, senders: 200, ..zoned() },
+        Settings { ends_by_notice: true, order_cooldown: 0, slots: 3, max_attempts: 4, ..settings() },
+        Settings {
+            kinds: vec![Kind { limit_per_host: false, max_bundle: 3 }],
+            order_cooldown: 0,
+            ..settings()
+        },
+        Settings {
+            kinds: vec![Kind { limit_per_host: true, max_bundle: 3 }],
+            ends_by_notice: true,
+            ..zoned()
+        },
+        Settings { drain_grace: 250 * MILLI, value_decay: ValueDecay::Halving, senders: 200, ..zoned() },
     ];
     let config = Config { cases: 24, failure_persistence: None, ..Config::default() };
     for settings in variants {
@@ -329,7 +350,7 @@
 fn a_guarded_message_whose_call_outlives_its_window_is_failed_not_refused() {
     let mut sender = Sender::new(settings(), &[listed(1, 1, 400.0)]);
     let (id, actions) = sender.submit(GUARDED, 1);
-    let mut actions = sender.outcome(&sends(&actions)[0], Outcome::Full { wait: 0 });
+    let mut actions = sender.outcome(&sends(&actions)[0], Outcome::Rejected { wait: 0 });
     actions.extend(sender.advance(3 * SECOND));
     assert_eq!(sends(&actions).len(), 1, "the second attempt is in flight");
     let ends = sender.advance(12 * SECOND);
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -19,19 +19,28 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let apart = Kind { routes_apart: true, bundle: 4 };
-    let shared = Kind { routes_apart: false, bundle: 1 };
+    let apart = Kind { limit_per_host: true, max_bundle: 4 };
+    let shared = Kind { limit_per_host: false, max_bundle: 1 };
     let mut zoned = zoned();
     let effect = Effect::Guarded { window: 6 * SECOND, group: Group::All };
     zoned.classes.push(Class { effect, in_order: false, ..zoned.classes[GUARDED].clone() });
     let many = Settings { senders: 6, kinds: vec![shared, apart], ..settings() };
     let tenants = vec![Tenant { quota_per_s: 2.0 }, Tenant { quota_per_s: 40.0 }];
-    let rough = Settings { senders: 3, kinds: vec![apart, shared], tenants, over_share_worth: 0.3, ..zoned };
-    let rough = Settings { listing: Listing::Rough, lateness: Lateness::Halving, ..rough };
-    let rough = Settings { ask_registry: true, ends_by_notice: true, ..rough };
-    let silent = Settings { senders: 60, listing: Listing::Silent, max_retry_after: 0, ..settings() };
-    let silent = Settings { ask_registry: true, ..silent };
-    let alone = Settings { may_tell: false, listing: Listing::Rough, ..silent.clone() };
+    let rough = Settings { senders: 3, kinds: vec![apart, shared], tenants, over_quota_value: 0.3, ..zoned };
+    let rough = Settings {
+        weight_meaning: WeightMeaning::ApproximateRate,
+        value_decay: ValueDecay::Halving,
+        ..rough
+    };
+    let rough = Settings { polls_registry: true, ends_by_notice: true, ..rough };
+    let silent =
+        Settings { senders: 60, weight_meaning: WeightMeaning::Ignored, max_retry_after: 0, ..settings() };
+    let silent = Settings { polls_registry: true, ..silent };
+    let alone = Settings {
+        may_message_peers: false,
+        weight_meaning: WeightMeaning::ApproximateRate,
+        ..silent.clone()
+    };
     let hasher = SipHasher13::new_with_keys(0, 0);
     let hasher = World::new(many, 6, true, hasher).play();
     let hasher = World::new(rough, 3, true, hasher).play();
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -47,7 +47,7 @@
     brains: Vec<Brain>,
     held: Vec<BTreeMap<MessageId, Held>>,
     due: BTreeMap<(Micros, u64), (usize, Due)>,
-    list: BTreeMap<HostId, Listed>,
+    list: BTreeMap<HostId, ListedHost>,
     /// Calls to each destination per tenth of a second.
     calls: BTreeMap<(DestinationId, Micros), u64>,
     hasher: SipHasher13,
@@ -65,7 +65,7 @@
         let entry = |host: u64| {
             let destination = (host % DESTINATIONS) as DestinationId;
             let kind = destination as usize % settings.kinds.len();
-            let entry = Listed { zone: (host % 3) as u16, kind, ..listed(host, destination, 12.0) };
+            let entry = ListedHost { zone: (host % 3) as u16, kind, ..listed(host, destination, 12.0) };
             (entry.host, entry)
         };
         let mut world = World {
@@ -97,8 +97,8 @@
         self.due.insert(((self.now + span).next_multiple_of(GRID), self.draws), (me, due));
     }
 
-    fn whole(&self) -> RegistryNews {
-        RegistryNews::Whole(self.list.values().copied().collect())
+    fn whole(&self) -> RegistryUpdate {
+        RegistryUpdate::FullList(self.list.values().copied().collect())
     }
 
     /// Runs the world and hashes all actions.
@@ -149,7 +149,8 @@
         self.schedule(me, pause, Due::Arrival);
         match self.draw(120) {
             0 => self.change_list(),
-            1 => events.push(Event::Registry([RegistryNews::Failed, RegistryNews::Refused][me % 2].clone())),
+            1 => events
+                .push(Event::Registry([RegistryUpdate::Failed, RegistryUpdate::Overloaded][me % 2].clone())),
             2 => events.push(Event::Withdrawn(MessageId(self.draws - self.draw(60)))),
             3 => {
                 let (host, outcome) = (HostId(self.draw(HOSTS)), [Outcome::Ok, Outcome::Error][me % 2]);
@@ -162,9 +163,9 @@
             }
             5 if self.draw(4) == 0 => {
                 let mut settings = settings_of(&self.settings, me);
-                (settings.slots, settings.most_held) =
+                (settings.slots, settings.max_held) =
                     (6 + self.draw(6) as usize, 50 + self.draw(20) as usize);
-                events.push(Event::Retuned(settings));
+                events.push(Event::SettingsChanged(settings));
             }
             _ => {}
         }
@@ -176,9 +177,9 @@
         let destination = (host.0 % DESTINATIONS) as DestinationId;
         let (kind, zone) = (destination as usize % self.settings.kinds.len(), (host.0 % 3) as u16);
         let weight = 6.0 + self.draw(12) as f64;
-        let entry = Listed { lifecycle, zone, kind, ..listed(host.0, destination, weight) };
+        let entry = ListedHost { lifecycle, zone, kind, ..listed(host.0, destination, weight) };
         self.list.insert(host, entry);
-        let changes = RegistryNews::Changes(vec![entry]);
+        let changes = RegistryUpdate::Changes(vec![entry]);
         let news = if self.draw(3) == 0 { self.whole() } else { changes };
         self.list.retain(|_, entry| entry.lifecycle != Lifecycle::Gone);
         for me in 0..self.brains.len() {
@@ -196,8 +197,8 @@
         let mut first = vec![Event::Registry(self.whole()), Event::Learnt(learnt)];
         for held in self.held[me].values_mut() {
             if let Some((_, at, _)) = held.in_flight.take() {
-                held.history.cut_at = Some(at);
-                held.history.ran.get_or_insert(Ran { at, zone: None });
+                held.history.interrupted_at = Some(at);
+                held.history.possible_run.get_or_insert(PossibleRun { at, zone: None });
             }
             held.request.history = held.history;
             first.push(Event::Message(held.request));
@@ -211,9 +212,9 @@
         let Some((_, at, host)) = held.in_flight.take_if(|sent| sent.0 == ended.attempt) else { return };
         let zone = Some((host.0 % 3) as u16);
         if ended.outcome.may_have_run() {
-            held.history.ran.get_or_insert(Ran { at, zone });
+            held.history.possible_run.get_or_insert(PossibleRun { at, zone });
         }
-        if !matches!(ended.outcome, Outcome::Ok | Outcome::Full { .. }) {
+        if !matches!(ended.outcome, Outcome::Ok | Outcome::Rejected { .. }) {
             held.history.failed_at.get_or_insert(at);
         }
         if ended.closed {
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -31,19 +31,20 @@
             }
             Action::Cancel { id, attempt } => {
                 let (outcome, took) = (Outcome::Cancelled, MILLI);
-                let ended = Ended { id, attempt, outcome, took, closed: false, limit: None, carrier: None };
+                let ended =
+                    Ended { id, attempt, outcome, took, closed: false, limit: None, connection: None };
                 self.schedule(me, took, Due::Ended(ended));
             }
             Action::Fail(id) | Action::Refuse { id, .. } if self.settings.ends_by_notice => {
-                self.held[me].get_mut(&id).into_iter().for_each(|held| held.history.over = true);
+                self.held[me].get_mut(&id).into_iter().for_each(|held| held.history.given_up = true);
                 self.schedule(me, 200 * MILLI, Due::Fixed(Event::Withdrawn(id)));
             }
             Action::Fail(id) | Action::Refuse { id, .. } => drop(self.held[me].remove(&id)),
             Action::Tell { to, bytes } => self.deliver(me, to, &bytes),
             Action::Subscribe => {
                 let news = match self.draw(3) {
-                    0 => RegistryNews::Refused,
-                    1 => RegistryNews::Failed,
+                    0 => RegistryUpdate::Overloaded,
+                    1 => RegistryUpdate::Failed,
                     _ => self.whole(),
                 };
                 self.schedule(me, 100 * MILLI, Due::Fixed(Event::Registry(news)));
@@ -87,9 +88,11 @@
             (1, _) | (_, 1) => (Outcome::Timeout, timeout),
             (2, _) => (Outcome::ConnectFailed, if luck < 10 { connect } else { MILLI }),
             (3, 2..20) | (_, 2) => (Outcome::Reset, took),
-            (4, 2..30) => (Outcome::Full { wait: 4 * SECOND }, took),
+            (4, 2..30) => (Outcome::Rejected { wait: 4 * SECOND }, took),
             (5, 2..30) | (_, 3) => (Outcome::Ok, took * 9),
-            _ if used > 1.0 => (Outcome::Full { wait: [0, 0, 500, 1500][luck as usize % 4] * MILLI }, took),
+            _ if used > 1.0 => {
+                (Outcome::Rejected { wait: [0, 0, 500, 1500][luck as usize % 4] * MILLI }, took)
+            }
             _ => (Outcome::Ok, took),
         };
         let (outcome, took) = if took > timeout { (Outcome::Timeout, timeout) } else { (outcome, took) };
@@ -101,11 +104,12 @@
         // A host that refuses all calls has most of its limit left; others that refuse have almost none.
         let left = if behaviour == 4 { 0.7 + luck as f64 / 100.0 } else { (1.0 - used).max(0.0) };
         let left = destination.is_multiple_of(4).then_some(left);
-        let limit = told.then_some(Allowance { rate: limit as f64 * (0.9 + luck as f64 / 200.0), left });
+        let limit = told.then_some(ReportedLimit { rate: limit as f64 * (0.9 + luck as f64 / 200.0), left });
         let idle_for = (!new).then_some(luck * 400 * MILLI);
-        let kept = matches!(outcome, Outcome::Ok | Outcome::Full { .. }) && luck > 6;
-        let carrier = self.reports_opening.then_some(Carrier { idle_for, kept });
-        let ended = Ended { id, attempt, outcome, took, closed: outcome == Outcome::Ok, limit, carrier };
+        let kept = matches!(outcome, Outcome::Ok | Outcome::Rejected { .. }) && luck > 6;
+        let carrier = self.reports_opening.then_some(ConnectionUse { idle_for, kept });
+        let ended =
+            Ended { id, attempt, outcome, took, closed: outcome == Outcome::Ok, limit, connection: carrier };
         self.schedule(me, took, Due::Ended(ended));
     }
 }
